--- a/include/marjoramtally/process/gossip_items.hpp
+++ b/include/marjoramtally/process/gossip_items.hpp
@@ -14,8 +14,8 @@
 class GossipItems
 {
 public:
-  explicit GossipItems(std::size_t aMost = 1024) noexcept
-    : most_(aMost)
+  explicit GossipItems(std::size_t aMaxItems = 1024) noexcept
+    : maxItems_(aMaxItems)
   {
   }
 
@@ -29,7 +29,7 @@
   [[nodiscard]] std::vector<GossipItem> OfKind(GossipItemKind aKind,
                                                TimePoint aNow) const;
   /// Forgets expired items.
-  void Forget(TimePoint aNow);
+  void RemoveExpired(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const noexcept { return items_.size(); }
 
 private:
@@ -38,12 +38,13 @@
   {
     GossipItem item_;
     /// When the origin made it, by this process's clock.
-    TimePoint made_;
+    TimePoint createdAt_;
   };
 
-  [[nodiscard]] static GossipItem Aged(const Entry& aEntry, TimePoint aNow);
+  [[nodiscard]] static GossipItem WithCurrentAge(const Entry& aEntry,
+                                                 TimePoint aNow);
 
-  std::size_t most_;
+  std::size_t maxItems_;
   std::map<Key, Entry> items_;
 };
 
--- a/include/marjoramtally/process/gossip_queue.hpp
+++ b/include/marjoramtally/process/gossip_queue.hpp
@@ -23,15 +23,15 @@
 };
 
 /// A message with less room than this is full.
-inline constexpr std::size_t kLeastSubjectBytes = 70;
+inline constexpr std::size_t kMinSubjectBytes = 70;
 
 /// Subjects by how often each was sent.
 class GossipQueue
 {
 public:
-  /// @param aMost subjects kept; beyond it the most sent are dropped
-  explicit GossipQueue(std::size_t aMost = 512) noexcept
-    : most_(aMost)
+  /// @param aMaxSubjects subjects kept; beyond it the most sent are dropped
+  explicit GossipQueue(std::size_t aMaxSubjects = 512) noexcept
+    : maxSubjects_(aMaxSubjects)
   {
   }
 
@@ -57,7 +57,7 @@
 
   void CountSent(const GossipSubject& aSubject, std::uint32_t aLimit);
 
-  std::size_t most_;
+  std::size_t maxSubjects_;
   std::uint64_t next_ = 0;
   std::map<GossipSubject, Order> sent_;
   std::map<Order, GossipSubject> order_;
@@ -76,7 +76,7 @@
     }
     taken.push_back(subject);
     left -= std::min(left, bytes);
-    if (left < kLeastSubjectBytes) {
+    if (left < kMinSubjectBytes) {
       break;
     }
   }
--- a/include/marjoramtally/process/job_takeover.hpp
+++ b/include/marjoramtally/process/job_takeover.hpp
@@ -28,7 +28,7 @@
   /// Where most other signs of life stay, the store was not away, and those
   /// that vanished within this time of each other are gone: a zone that was
   /// cut off, or processes that died. Their jobs are taken over at once.
-  Duration together_ = std::chrono::milliseconds(1500);
+  Duration correlationWindow_ = std::chrono::milliseconds(1500);
   Duration lossGrace_{ 0 };
   /// Each further candidate waits this much longer than the one before.
   Duration rankStep_ = std::chrono::milliseconds(700);
@@ -51,7 +51,7 @@
   [[nodiscard]] std::vector<JobId> Due(TimePoint aNow) const;
   /// @returns whether of all processes this one is to look after a job that
   /// needs no owner any more
-  [[nodiscard]] bool IsFirst(const JobId& aJob) const
+  [[nodiscard]] bool RanksFirst(const JobId& aJob) const
   {
     return Rank(aJob) == 0;
   }
@@ -59,7 +59,7 @@
   [[nodiscard]] TimePoint NextDue() const;
 
 private:
-  struct Orphan
+  struct Ownership
   {
     std::string owner_;
     TimePoint since_;
@@ -68,7 +68,7 @@
   /// @returns when this process should claim the job; `kNever` if its owner
   /// lives
   [[nodiscard]] TimePoint ClaimAt(const JobId& aJob,
-                                  const Orphan& aOrphan) const;
+                                  const Ownership& aOwnership) const;
   [[nodiscard]] std::size_t Rank(const JobId& aJob) const;
   /// @returns how long a sign of life that vanished then may come back
   [[nodiscard]] Duration GraceOf(TimePoint aGone) const;
@@ -78,7 +78,7 @@
   std::set<std::string> alive_;
   /// When signs of life vanished.
   std::map<std::string, TimePoint> gone_;
-  std::map<JobId, Orphan> jobs_;
+  std::map<JobId, Ownership> jobs_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/lease.hpp
+++ b/include/marjoramtally/process/lease.hpp
@@ -19,8 +19,8 @@
   /// The holder stops this long before the store may let the lease go; covers
   /// the difference between the two clocks and an order already under way.
   Duration margin_ = std::chrono::seconds(1);
-  Duration firstBackoff_ = std::chrono::milliseconds(200);
-  Duration longestBackoff_ = std::chrono::seconds(5);
+  Duration initialBackoff_ = std::chrono::milliseconds(200);
+  Duration maxBackoff_ = std::chrono::seconds(5);
 };
 
 /// What the holder is to ask of the store now.
@@ -49,7 +49,7 @@
 public:
   LeaseKeeper(LeaseOptions aOptions, std::uint64_t aSeed) noexcept
     : options_(aOptions)
-    , backoff_(aOptions.firstBackoff_, aOptions.longestBackoff_, aSeed)
+    , backoff_(aOptions.initialBackoff_, aOptions.maxBackoff_, aSeed)
     , random_(aSeed)
   {
   }
@@ -114,12 +114,12 @@
 class StoreBudget
 {
 public:
-  /// @param aPerSecond calls a second that are earned
+  /// @param aTokensPerSecond calls a second that are earned
   /// @param aBurst most calls saved up
-  StoreBudget(double aPerSecond, double aBurst) noexcept
-    : perSecond_(aPerSecond)
+  StoreBudget(double aTokensPerSecond, double aBurst) noexcept
+    : tokensPerSecond_(aTokensPerSecond)
     , burst_(aBurst)
-    , left_(aBurst)
+    , tokens_(aBurst)
   {
   }
 
@@ -132,9 +132,9 @@
   [[nodiscard]] std::uint64_t Refused() const noexcept { return refused_; }
 
 private:
-  double perSecond_;
+  double tokensPerSecond_;
   double burst_;
-  double left_;
+  double tokens_;
   TimePoint last_;
   std::array<std::uint64_t, kStoreCallKinds> counts_{};
   std::uint64_t refused_ = 0;
--- a/include/marjoramtally/process/member_table.hpp
+++ b/include/marjoramtally/process/member_table.hpp
@@ -25,9 +25,9 @@
 {
   /// How long a dead member is remembered, so that late updates do not
   /// revive it.
-  Duration tombstone_ = std::chrono::hours(2);
+  Duration tombstoneRetention_ = std::chrono::hours(2);
   /// Most members kept, dead ones included; further ones are refused.
-  std::size_t most_ = 4096;
+  std::size_t maxEntries_ = 4096;
 };
 
 /// All members by id. Updates about one member are ordered by incarnation,
@@ -39,7 +39,7 @@
   struct Entry
   {
     Member member_;
-    TimePoint changed_;
+    TimePoint changedAt_;
     /// When a suspicion ends; only while suspect.
     TimePoint deadline_ = kNever;
   };
@@ -51,7 +51,7 @@
 
   MergeOutcome Merge(const Member& aUpdate, TimePoint aNow);
   /// Forgets dead members whose time is over.
-  void Forget(TimePoint aNow);
+  void RemoveExpired(TimePoint aNow);
   [[nodiscard]] const Entry* Find(const InstanceId& aId) const;
   /// Sets when a suspicion ends.
   void SetDeadline(const InstanceId& aId, TimePoint aDeadline);
@@ -71,8 +71,8 @@
 private:
   MergeOutcome Insert(const Member& aUpdate, TimePoint aNow);
   /// Marks others dead whose address a new incarnation has taken over.
-  void DropFormerHolder(const Member& aNewcomer, TimePoint aNow);
-  void Toggle(const Member& aMember);
+  void MarkFormerHolderDead(const Member& aNewcomer, TimePoint aNow);
+  void ToggleHash(const Member& aMember);
 
   MemberTableOptions options_;
   std::map<InstanceId, Entry> entries_;
--- a/include/marjoramtally/process/membership.hpp
+++ b/include/marjoramtally/process/membership.hpp
@@ -22,7 +22,7 @@
   Duration probeTimeout_ = std::chrono::milliseconds(500);
   /// Longest wait for a helper, its own probe included.
   Duration indirectTimeout_ = std::chrono::seconds(1);
-  std::size_t helpers_ = 3;
+  std::size_t indirectProbes_ = 3;
   /// From suspicion to dead, unless refuted.
   Duration suspicion_ = std::chrono::seconds(5);
   /// No event for this long means that this process was paused.
@@ -32,9 +32,9 @@
   /// Without contact for this long a zone counts as cut off.
   Duration contactTtl_ = std::chrono::seconds(30);
   /// Members of a zone that is cut off this long are given up.
-  Duration forgetZone_ = std::chrono::hours(2);
+  Duration zoneRetention_ = std::chrono::hours(2);
   /// Members of a zone that keep links to other zones.
-  std::size_t bridges_ = 2;
+  std::size_t bridgesPerZone_ = 2;
   /// Bytes of updates and items in one message, and in a page of a sync.
   std::size_t messageBudget_ = 500;
   std::size_t pageBudget_ = 2048;
@@ -43,7 +43,7 @@
   std::size_t urgentZones_ = 2;
   /// Failed probes in a row, with nothing heard, that mean that this
   /// process is the one cut off.
-  std::size_t isolatedAfter_ = 3;
+  std::size_t isolationThreshold_ = 3;
   /// Peers in a row with another table hash before a sync.
   std::size_t localMismatches_ = 8;
   std::size_t remoteMismatches_ = 3;
@@ -146,7 +146,7 @@
   /// Whether nobody answers this process.
   [[nodiscard]] bool Isolated() const noexcept
   {
-    return failedRounds_ >= options_.isolatedAfter_;
+    return failedRounds_ >= options_.isolationThreshold_;
   }
   /// Whether a younger process runs under this one's name.
   [[nodiscard]] bool Superseded() const noexcept { return superseded_; }
@@ -159,7 +159,7 @@
 
 private:
   /// Most subjects waiting to leave the zone.
-  static constexpr std::size_t kRemoteQueue = 128;
+  static constexpr std::size_t kMaxRemoteQueue = 128;
 
   enum class CallKind : std::uint8_t
   {
@@ -184,20 +184,20 @@
   void MergeSelf(const Member& aUpdate, TimePoint aNow);
   void Refute(std::uint32_t aRefutation, TimePoint aNow);
   void MergeItem(const GossipItem& aItem, TimePoint aNow);
-  void Noticed(const Member& aMember, TimePoint aNow);
-  void NoteContact(const Member& aSender, TimePoint aNow);
+  void OnMemberChanged(const Member& aMember, TimePoint aNow);
+  void RecordZoneContact(const Member& aSender, TimePoint aNow);
   void CompareTables(const GossipMessage& aMessage, const Member* aSender);
   void CheckPause(TimePoint aNow);
   void SetState(const InstanceId& aId, MemberState aState, TimePoint aNow);
   void Expire(TimePoint aNow);
-  void ForgetLostZones(TimePoint aNow);
+  void DeclareLostZonesDead(TimePoint aNow);
 
   // Sending: membership_send.cpp, membership_probe.cpp,
   // membership_sync.cpp, membership_roles.cpp
   [[nodiscard]] GossipMessage Compose(GossipKind aKind,
                                       const Member* aTo,
                                       TimePoint aNow);
-  void Fill(GossipMessage& aMessage, bool aRemote, TimePoint aNow);
+  void AppendPending(GossipMessage& aMessage, bool aRemote, TimePoint aNow);
   GossipSend Send(Call aCall,
                   const std::string& aAddress,
                   GossipMessage aMessage,
@@ -207,20 +207,20 @@
               TimePoint aNow,
               GossipActions& aOut);
   void ProbeNext(TimePoint aNow, GossipActions& aOut);
-  void ProbeThroughHelpers(const InstanceId& aTarget,
-                           TimePoint aNow,
-                           GossipActions& aOut);
+  void ProbeIndirectly(const InstanceId& aTarget,
+                       TimePoint aNow,
+                       GossipActions& aOut);
   void ProbeZone(TimePoint aNow, GossipActions& aOut);
   void PushUrgent(TimePoint aNow, GossipActions& aOut);
-  void EndHelper(const InstanceId& aTarget, TimePoint aNow);
+  void EndIndirectProbe(const InstanceId& aTarget, TimePoint aNow);
   void SyncIfDue(TimePoint aNow, GossipActions& aOut);
-  [[nodiscard]] std::string UnknownSeed();
+  [[nodiscard]] std::string PickUnknownSeed();
   [[nodiscard]] GossipMessage ComposePage(const GossipMessage& aRequest,
                                           TimePoint aNow);
   [[nodiscard]] std::vector<InstanceId> Peers() const;
-  [[nodiscard]] std::vector<InstanceId> OneOfEachZone();
+  [[nodiscard]] std::vector<InstanceId> PickOnePerZone();
   [[nodiscard]] std::uint32_t SendLimit(bool aRemote) const;
-  void Spread(const GossipSubject& aSubject, bool aZoneOnly);
+  void Enqueue(const GossipSubject& aSubject, bool aZoneOnly);
   void RefreshRoles() const;
 
   MembershipOptions options_;
@@ -231,7 +231,7 @@
   GossipQueue queue_;
   /// What still has to leave the zone; counted apart, so that sends within
   /// the zone do not use it up.
-  GossipQueue remoteQueue_{ kRemoteQueue };
+  GossipQueue remoteQueue_{ kMaxRemoteQueue };
   ConfigRevision revision_;
   InstanceId revisionSource_;
   MembershipCounters counters_;
@@ -240,7 +240,7 @@
   std::uint64_t nextCall_ = 1;
   std::unordered_map<GossipCall, Call> calls_;
   /// Helpers yet to answer, by target.
-  std::map<InstanceId, std::size_t> helpersPending_;
+  std::map<InstanceId, std::size_t> pendingIndirectProbes_;
   std::vector<InstanceId> probeOrder_;
   std::uint64_t nextZone_ = 0;
   TimePoint nextProbe_;
@@ -251,7 +251,7 @@
   bool urgent_ = false;
   bool superseded_ = false;
   std::size_t failedRounds_ = 0;
-  std::map<ZoneId, TimePoint> zoneSeen_;
+  std::map<ZoneId, TimePoint> lastZoneContact_;
 
   std::vector<std::string> seeds_;
   bool joined_ = false;
@@ -261,11 +261,11 @@
   std::size_t localMismatch_ = 0;
   std::size_t remoteMismatch_ = 0;
   /// Address of the peer to sync with; empty when no sync is due.
-  std::string syncWith_;
+  std::string syncPeer_;
   std::string syncCursor_;
 
   /// Derived from the table, made anew when it has changed.
-  mutable std::uint64_t rolesOf_ = UINT64_MAX;
+  mutable std::uint64_t rolesVersion_ = UINT64_MAX;
   mutable bool bridge_ = true;
   mutable std::vector<InstanceId> peers_;
   mutable std::map<ZoneId, std::vector<InstanceId>> otherZones_;
--- a/include/marjoramtally/process/poll_plan.hpp
+++ b/include/marjoramtally/process/poll_plan.hpp
@@ -11,14 +11,14 @@
 struct PollSettings
 {
   /// Upstreams of a service that one entry asks, and so sends to.
-  std::size_t subset_ = 24;
+  std::size_t subsetSize_ = 24;
   /// Of these, upstreams of other zones, against the loss of our own.
-  std::size_t farInSubset_ = 6;
+  std::size_t remoteInSubset_ = 6;
   /// Polls of all services together; at some 250 bytes each they stay below
   /// 3 KB/s.
-  double mostPerSecond_ = 10;
+  double maxPollsPerSecond_ = 10;
   /// Shortest time between two polls of one upstream.
-  Duration shortestPeriod_ = std::chrono::milliseconds(200);
+  Duration minPeriod_ = std::chrono::milliseconds(200);
 };
 
 /// The plan of one entry. Not thread-safe.
--- a/include/marjoramtally/process/relay_plan.hpp
+++ b/include/marjoramtally/process/relay_plan.hpp
@@ -16,7 +16,7 @@
 namespace marjoramtally {
 
 /// What a process says of itself beside its sign of life.
-struct LifeRecord
+struct LivenessRecord
 {
   ZoneId zone_;
   /// Where its peers call it, as IP:PORT; empty: it cannot be called.
@@ -24,22 +24,22 @@
 };
 
 [[nodiscard]] std::string
-WriteLifeRecord(const LifeRecord& aRecord);
-[[nodiscard]] Result<LifeRecord>
-ReadLifeRecord(std::string_view aText);
+WriteLivenessRecord(const LivenessRecord& aRecord);
+[[nodiscard]] Result<LivenessRecord>
+ReadLivenessRecord(std::string_view aText);
 
 /// Sizes of the plan.
 struct RelayPlanPolicy
 {
   /// Fewer processes than this watch the store themselves: what relays would
   /// save is less than what they cost in failures.
-  std::size_t leastPeers_ = 5;
+  std::size_t minPeers_ = 5;
   /// Processes that one relay serves with one prefix. Each prefix has relays
   /// of its own: as many questions reach a relay as with 24 processes and
   /// three prefixes, for a third of the watches.
-  std::size_t peersOfRelay_ = 72;
+  std::size_t peersPerRelay_ = 72;
   /// Relays at the least, for one to fail.
-  std::size_t leastRelays_ = 2;
+  std::size_t minRelays_ = 2;
 };
 
 /// The plan as one process sees it.
@@ -48,7 +48,7 @@
 public:
   explicit RelayPlan(std::string aSelf, RelayPlanPolicy aPolicy = {});
 
-  void OnAlive(const std::string& aIncarnation, LifeRecord aRecord);
+  void OnAlive(const std::string& aIncarnation, LivenessRecord aRecord);
   void OnGone(const std::string& aIncarnation);
 
   /// @returns addresses of the relays of a prefix, in the order in which this
@@ -64,7 +64,7 @@
 
   std::string self_;
   RelayPlanPolicy policy_;
-  std::map<std::string, LifeRecord> alive_;
+  std::map<std::string, LivenessRecord> alive_;
   /// Relays of the prefixes asked for since the processes last changed.
   mutable std::map<std::string, std::vector<std::string>> relays_;
 };
--- a/src/process/gossip_items.cpp
+++ b/src/process/gossip_items.cpp
@@ -12,14 +12,14 @@
   const Key key{ aItem.kind_, aItem.key_ };
   const auto it = items_.find(key);
   if (it == items_.end()) {
-    if (items_.size() >= most_) {
-      Forget(aNow);
+    if (items_.size() >= maxItems_) {
+      RemoveExpired(aNow);
     }
-    if (items_.size() >= most_) {
+    if (items_.size() >= maxItems_) {
       return false;
     }
   } else if (it->second.item_.version_ >= aItem.version_ &&
-             aNow - it->second.made_ < it->second.item_.ttl_) {
+             aNow - it->second.createdAt_ < it->second.item_.ttl_) {
     return false;
   }
   items_[key] = Entry{ aItem, aNow - aItem.age_ };
@@ -35,7 +35,7 @@
   if (it == items_.end()) {
     return std::nullopt;
   }
-  GossipItem item = Aged(it->second, aNow);
+  GossipItem item = WithCurrentAge(it->second, aNow);
   if (item.age_ >= item.ttl_) {
     return std::nullopt;
   }
@@ -49,7 +49,7 @@
   for (auto it = items_.lower_bound({ aKind, {} });
        it != items_.end() && it->first.first == aKind;
        ++it) {
-    GossipItem item = Aged(it->second, aNow);
+    GossipItem item = WithCurrentAge(it->second, aNow);
     if (item.age_ < item.ttl_) {
       found.push_back(std::move(item));
     }
@@ -58,18 +58,18 @@
 }
 
 void
-GossipItems::Forget(TimePoint aNow)
+GossipItems::RemoveExpired(TimePoint aNow)
 {
   std::erase_if(items_, [&](const auto& aItem) {
-    return aNow - aItem.second.made_ >= aItem.second.item_.ttl_;
+    return aNow - aItem.second.createdAt_ >= aItem.second.item_.ttl_;
   });
 }
 
 GossipItem
-GossipItems::Aged(const Entry& aEntry, TimePoint aNow)
+GossipItems::WithCurrentAge(const Entry& aEntry, TimePoint aNow)
 {
   GossipItem item = aEntry.item_;
-  item.age_ = aNow - aEntry.made_;
+  item.age_ = aNow - aEntry.createdAt_;
   return item;
 }
 
--- a/src/process/gossip_queue.cpp
+++ b/src/process/gossip_queue.cpp
@@ -18,7 +18,7 @@
 GossipQueue::Add(const GossipSubject& aSubject)
 {
   Remove(aSubject);
-  if (sent_.size() >= most_) {
+  if (sent_.size() >= maxSubjects_) {
     const GossipSubject last = order_.rbegin()->second;
     Remove(last);
   }
--- a/src/process/job_takeover.cpp
+++ b/src/process/job_takeover.cpp
@@ -7,21 +7,21 @@
 namespace {
 
 /// Between the instance's name and the number of the run.
-constexpr char kRunMark = '~';
+constexpr char kRunSeparator = '~';
 
 } // namespace
 
 std::string
 MakeIncarnationName(const InstanceId& aInstance, std::string_view aRun)
 {
-  return aInstance.Get() + kRunMark + std::string(aRun);
+  return aInstance.Get() + kRunSeparator + std::string(aRun);
 }
 
 InstanceId
 InstanceOf(std::string_view aIncarnation)
 {
   return InstanceId{ std::string(
-    aIncarnation.substr(0, aIncarnation.rfind(kRunMark))) };
+    aIncarnation.substr(0, aIncarnation.rfind(kRunSeparator))) };
 }
 
 JobTakeover::JobTakeover(std::string aSelf, TakeoverPolicy aPolicy)
@@ -48,7 +48,7 @@
 void
 JobTakeover::OnOwner(const JobId& aJob, std::string aOwner, TimePoint aNow)
 {
-  jobs_[aJob] = Orphan{ std::move(aOwner), aNow };
+  jobs_[aJob] = Ownership{ std::move(aOwner), aNow };
 }
 
 void
@@ -73,45 +73,45 @@
 {
   const auto vanished = static_cast<std::size_t>(
     std::count_if(gone_.begin(), gone_.end(), [&](const auto& aEntry) {
-      return aEntry.second <= aGone + policy_.together_ &&
-             aGone <= aEntry.second + policy_.together_;
+      return aEntry.second <= aGone + policy_.correlationWindow_ &&
+             aGone <= aEntry.second + policy_.correlationWindow_;
     }));
   return vanished < alive_.size() ? policy_.lossGrace_ : policy_.returnGrace_;
 }
 
 TimePoint
-JobTakeover::ClaimAt(const JobId& aJob, const Orphan& aOrphan) const
+JobTakeover::ClaimAt(const JobId& aJob, const Ownership& aOwnership) const
 {
-  if (aOrphan.owner_ == self_) {
+  if (aOwnership.owner_ == self_) {
     return kNever;
   }
-  if (InstanceOf(aOrphan.owner_) == InstanceOf(self_)) {
+  if (InstanceOf(aOwnership.owner_) == InstanceOf(self_)) {
     // The last run of this very process has ended, whatever its lease says.
-    return aOrphan.since_;
+    return aOwnership.since_;
   }
-  if (alive_.contains(aOrphan.owner_)) {
+  if (alive_.contains(aOwnership.owner_)) {
     return kNever;
   }
-  const Duration turn =
+  const Duration rankDelay =
     policy_.rankStep_ * static_cast<std::int64_t>(Rank(aJob));
-  if (aOrphan.owner_.empty()) {
-    return aOrphan.since_ + turn;
+  if (aOwnership.owner_.empty()) {
+    return aOwnership.since_ + rankDelay;
   }
-  const auto gone = gone_.find(aOrphan.owner_);
+  const auto gone = gone_.find(aOwnership.owner_);
   const TimePoint since = gone == gone_.end()
-                            ? aOrphan.since_
-                            : std::max(gone->second, aOrphan.since_);
+                            ? aOwnership.since_
+                            : std::max(gone->second, aOwnership.since_);
   const Duration grace =
     gone == gone_.end() ? policy_.returnGrace_ : GraceOf(gone->second);
-  return since + grace + turn;
+  return since + grace + rankDelay;
 }
 
 std::vector<JobId>
 JobTakeover::Due(TimePoint aNow) const
 {
   std::vector<JobId> due;
-  for (const auto& [job, orphan] : jobs_) {
-    if (ClaimAt(job, orphan) <= aNow) {
+  for (const auto& [job, ownership] : jobs_) {
+    if (ClaimAt(job, ownership) <= aNow) {
       due.push_back(job);
     }
   }
@@ -122,8 +122,8 @@
 JobTakeover::NextDue() const
 {
   TimePoint next = kNever;
-  for (const auto& [job, orphan] : jobs_) {
-    next = std::min(next, ClaimAt(job, orphan));
+  for (const auto& [job, ownership] : jobs_) {
+    next = std::min(next, ClaimAt(job, ownership));
   }
   return next;
 }
--- a/src/process/lease.cpp
+++ b/src/process/lease.cpp
@@ -9,7 +9,7 @@
 /// Heartbeats sent in the time that a lease lives without one.
 constexpr int kHeartbeatsPerTtl = 3;
 /// A call that is not answered in this share of the time is given up.
-constexpr int kAnswersPerTtl = 2;
+constexpr int kAnswerTimeoutsPerTtl = 2;
 /// Heartbeats are spread over the last part of their period.
 constexpr double kJitterShare = 0.1;
 
@@ -18,7 +18,7 @@
 LeaseStep
 LeaseKeeper::Next(TimePoint aNow) noexcept
 {
-  if (asking_ && aNow - sentAt_ >= options_.ttl_ / kAnswersPerTtl) {
+  if (asking_ && aNow - sentAt_ >= options_.ttl_ / kAnswerTimeoutsPerTtl) {
     // The answer is lost.
     OnAnswer(LeaseAnswer::Unknown, sentAt_, aNow);
   }
@@ -96,17 +96,17 @@
 {
   if (last_ != TimePoint{}) {
     const auto seconds = static_cast<double>((aNow - last_).count()) / 1e6;
-    left_ = std::min(burst_, left_ + seconds * perSecond_);
+    tokens_ = std::min(burst_, tokens_ + seconds * tokensPerSecond_);
   }
   last_ = aNow;
-  const bool mayWait =
+  const bool refusable =
     aKind == StoreCallKind::Read || aKind == StoreCallKind::Watch;
-  if (mayWait && left_ < 1.0) {
+  if (refusable && tokens_ < 1.0) {
     ++refused_;
     return false;
   }
   // Debt is bounded too, so that reads come back after a burst of writes.
-  left_ = std::max(left_ - 1.0, -burst_);
+  tokens_ = std::max(tokens_ - 1.0, -burst_);
   ++counts_.at(static_cast<std::size_t>(aKind));
   return true;
 }
--- a/src/process/member_table.cpp
+++ b/src/process/member_table.cpp
@@ -30,9 +30,9 @@
     .Next();
 }
 
-/// Order of updates about one incarnation, leaving marks apart.
+/// Order of updates about one incarnation, ignoring leaving marks.
 bool
-Newer(const Member& aUpdate, const Member& aKnown) noexcept
+IsNewer(const Member& aUpdate, const Member& aKnown) noexcept
 {
   return std::tie(aUpdate.refutation_, aUpdate.state_) >
          std::tie(aKnown.refutation_, aKnown.state_);
@@ -58,20 +58,20 @@
   if (aUpdate.incarnation_ < known.incarnation_) {
     return MergeOutcome::Ignored;
   }
-  const bool newer = Newer(aUpdate, known);
-  const bool marks = aUpdate.leaving_ && !known.leaving_;
-  if (!newer && !marks) {
+  const bool newer = IsNewer(aUpdate, known);
+  const bool marksLeaving = aUpdate.leaving_ && !known.leaving_;
+  if (!newer && !marksLeaving) {
     return MergeOutcome::Ignored;
   }
-  Toggle(known);
+  ToggleHash(known);
   known.leaving_ = known.leaving_ || aUpdate.leaving_;
   if (newer) {
     known.refutation_ = aUpdate.refutation_;
     known.state_ = aUpdate.state_;
     it->second.deadline_ = kNever;
   }
-  Toggle(known);
-  it->second.changed_ = aNow;
+  ToggleHash(known);
+  it->second.changedAt_ = aNow;
   return MergeOutcome::Changed;
 }
 
@@ -83,20 +83,20 @@
                                                : MergeOutcome::NeedsRecord;
   }
   const auto it = entries_.find(aUpdate.id_);
-  if (it == entries_.end() && entries_.size() >= options_.most_) {
+  if (it == entries_.end() && entries_.size() >= options_.maxEntries_) {
     return MergeOutcome::Ignored;
   }
-  DropFormerHolder(aUpdate, aNow);
+  MarkFormerHolderDead(aUpdate, aNow);
   if (it != entries_.end()) {
-    Toggle(it->second.member_);
+    ToggleHash(it->second.member_);
   }
   entries_[aUpdate.id_] = Entry{ aUpdate, aNow, kNever };
-  Toggle(aUpdate);
+  ToggleHash(aUpdate);
   return MergeOutcome::Changed;
 }
 
 void
-MemberTable::DropFormerHolder(const Member& aNewcomer, TimePoint aNow)
+MemberTable::MarkFormerHolderDead(const Member& aNewcomer, TimePoint aNow)
 {
   if (aNewcomer.state_ == MemberState::Dead) {
     return;
@@ -106,19 +106,19 @@
     if (id != aNewcomer.id_ && other.rpc_ == aNewcomer.rpc_ &&
         other.incarnation_ < aNewcomer.incarnation_ &&
         other.state_ != MemberState::Dead) {
-      Toggle(other);
+      ToggleHash(other);
       other.state_ = MemberState::Dead;
-      entry.changed_ = aNow;
+      entry.changedAt_ = aNow;
     }
   }
 }
 
 void
-MemberTable::Forget(TimePoint aNow)
+MemberTable::RemoveExpired(TimePoint aNow)
 {
   std::erase_if(entries_, [&](const auto& aEntry) {
     return aEntry.second.member_.state_ == MemberState::Dead &&
-           aNow - aEntry.second.changed_ >= options_.tombstone_;
+           aNow - aEntry.second.changedAt_ >= options_.tombstoneRetention_;
   });
 }
 
@@ -147,7 +147,7 @@
 
 /// Adds a living member to the hashes, or takes it out again.
 void
-MemberTable::Toggle(const Member& aMember)
+MemberTable::ToggleHash(const Member& aMember)
 {
   if (aMember.state_ == MemberState::Dead) {
     return;
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -12,7 +12,7 @@
 /// Counts a change that peers, links and bridges do not depend on, so that
 /// they need not be derived anew.
 void
-CountOtherChange(std::uint64_t& aChanges, std::uint64_t& aRolesOf)
+CountChangeKeepingRoles(std::uint64_t& aChanges, std::uint64_t& aRolesOf)
 {
   const bool current = aRolesOf == aChanges;
   ++aChanges;
@@ -31,7 +31,7 @@
   , random_(aSeed)
 {
   table_.Merge(self_, {});
-  Spread(GossipSubject::Of(self_.id_), false);
+  Enqueue(GossipSubject::Of(self_.id_), false);
 }
 
 void
@@ -140,7 +140,7 @@
   }
   const MemberTable::Entry* sender = table_.Find(aMessage.from_);
   if (sender != nullptr) {
-    NoteContact(sender->member_, aNow);
+    RecordZoneContact(sender->member_, aNow);
   }
   CompareTables(aMessage, sender == nullptr ? nullptr : &sender->member_);
 }
@@ -160,7 +160,7 @@
   }
   // Where the full record is wanting the tables differ, so a sync follows.
   if (table_.Merge(aUpdate, aNow) == MergeOutcome::Changed) {
-    Noticed(table_.Find(aUpdate.id_)->member_, aNow);
+    OnMemberChanged(table_.Find(aUpdate.id_)->member_, aNow);
   }
 }
 
@@ -175,7 +175,7 @@
     // The clock went back between two runs: stay above the former one.
     self_.incarnation_ = Incarnation{ aUpdate.incarnation_.Get() + 1 };
     table_.Merge(self_, aNow);
-    Noticed(self_, aNow);
+    OnMemberChanged(self_, aNow);
     return;
   }
   if (aUpdate.incarnation_ < self_.incarnation_) {
@@ -184,11 +184,11 @@
   if (aUpdate.leaving_ && !self_.leaving_) {
     self_.leaving_ = true;
     table_.Merge(self_, aNow);
-    Noticed(self_, aNow);
+    OnMemberChanged(self_, aNow);
   }
-  const bool accused = aUpdate.state_ != MemberState::Alive &&
-                       aUpdate.refutation_ >= self_.refutation_;
-  if (accused) {
+  const bool isAccused = aUpdate.state_ != MemberState::Alive &&
+                         aUpdate.refutation_ >= self_.refutation_;
+  if (isAccused) {
     Refute(aUpdate.refutation_ + 1, aNow);
   }
 }
@@ -199,17 +199,17 @@
   self_.refutation_ = aRefutation;
   table_.Merge(self_, aNow);
   ++counters_.refutations_;
-  Noticed(self_, aNow);
+  OnMemberChanged(self_, aNow);
   urgent_ = true;
 }
 
 /// Spreads a change of a member and starts the clock of a suspicion.
 void
-Membership::Noticed(const Member& aMember, TimePoint aNow)
+Membership::OnMemberChanged(const Member& aMember, TimePoint aNow)
 {
   ++changes_;
-  Spread(GossipSubject::Of(aMember.id_),
-         aMember.state_ == MemberState::Suspect);
+  Enqueue(GossipSubject::Of(aMember.id_),
+          aMember.state_ == MemberState::Suspect);
   if (aMember.state_ == MemberState::Suspect) {
     const TimePoint deadline = aNow + options_.suspicion_;
     table_.SetDeadline(aMember.id_, deadline);
@@ -221,7 +221,7 @@
 }
 
 void
-Membership::Spread(const GossipSubject& aSubject, bool aZoneOnly)
+Membership::Enqueue(const GossipSubject& aSubject, bool aZoneOnly)
 {
   queue_.Add(aSubject);
   if (!aZoneOnly) {
@@ -235,16 +235,16 @@
   if (!items_.Merge(aItem, aNow)) {
     return;
   }
-  Spread(GossipSubject::Of(aItem), aItem.zoneOnly_);
+  Enqueue(GossipSubject::Of(aItem), aItem.zoneOnly_);
   switch (aItem.kind_) {
     case GossipItemKind::ZoneContact:
-      zoneSeen_[ZoneId{ aItem.key_ }] = aNow - aItem.age_;
-      CountOtherChange(changes_, rolesOf_);
+      lastZoneContact_[ZoneId{ aItem.key_ }] = aNow - aItem.age_;
+      CountChangeKeepingRoles(changes_, rolesVersion_);
       break;
     case GossipItemKind::Quarantine:
     case GossipItemKind::StoreRevision:
       urgent_ = true;
-      CountOtherChange(changes_, rolesOf_);
+      CountChangeKeepingRoles(changes_, rolesVersion_);
       break;
     case GossipItemKind::Load:
       break;
@@ -252,7 +252,7 @@
 }
 
 void
-Membership::NoteContact(const Member& aSender, TimePoint aNow)
+Membership::RecordZoneContact(const Member& aSender, TimePoint aNow)
 {
   if (aSender.zone_ == self_.zone_) {
     return;
@@ -292,7 +292,7 @@
   }
   ++counters_.pauses_;
   calls_.clear();
-  helpersPending_.clear();
+  pendingIndirectProbes_.clear();
   syncing_ = false;
   nextProbe_ = aNow;
   for (const auto& [id, entry] : table_.All()) {
@@ -312,7 +312,7 @@
   Member update = entry->member_;
   update.state_ = aState;
   if (table_.Merge(update, aNow) == MergeOutcome::Changed) {
-    Noticed(table_.Find(aId)->member_, aNow);
+    OnMemberChanged(table_.Find(aId)->member_, aNow);
   }
 }
 
@@ -331,27 +331,27 @@
       nextExpiry_ = std::min(nextExpiry_, entry.deadline_);
     }
   }
-  for (const auto& [zone, seen] : zoneSeen_) {
+  for (const auto& [zone, seen] : lastZoneContact_) {
     if (seen != kNever && seen + options_.contactTtl_ > aNow) {
       nextExpiry_ = std::min(nextExpiry_, seen + options_.contactTtl_);
     }
   }
   // A zone may have been lost since, which no message tells.
-  CountOtherChange(changes_, rolesOf_);
+  CountChangeKeepingRoles(changes_, rolesVersion_);
   for (const InstanceId& id : ended) {
     ++counters_.deaths_;
     SetState(id, MemberState::Dead, aNow);
   }
-  table_.Forget(aNow);
-  items_.Forget(aNow);
-  ForgetLostZones(aNow);
+  table_.RemoveExpired(aNow);
+  items_.RemoveExpired(aNow);
+  DeclareLostZonesDead(aNow);
 }
 
 void
-Membership::ForgetLostZones(TimePoint aNow)
+Membership::DeclareLostZonesDead(TimePoint aNow)
 {
-  for (auto& [zone, seen] : zoneSeen_) {
-    if (aNow - seen < options_.forgetZone_) {
+  for (auto& [zone, seen] : lastZoneContact_) {
+    if (aNow - seen < options_.zoneRetention_) {
       continue;
     }
     seen = kNever;
--- a/src/process/membership_probe.cpp
+++ b/src/process/membership_probe.cpp
@@ -30,9 +30,9 @@
 }
 
 void
-Membership::ProbeThroughHelpers(const InstanceId& aTarget,
-                                TimePoint aNow,
-                                GossipActions& aOut)
+Membership::ProbeIndirectly(const InstanceId& aTarget,
+                            TimePoint aNow,
+                            GossipActions& aOut)
 {
   const MemberTable::Entry* target = table_.Find(aTarget);
   if (target == nullptr) {
@@ -42,7 +42,7 @@
   std::vector<InstanceId> helpers = Peers();
   std::erase(helpers, aTarget);
   std::size_t asked = 0;
-  while (asked < options_.helpers_ && !helpers.empty()) {
+  while (asked < options_.indirectProbes_ && !helpers.empty()) {
     const std::size_t chosen = random_.Below(helpers.size());
     const MemberTable::Entry* helper = table_.Find(helpers[chosen]);
     GossipMessage request =
@@ -55,19 +55,19 @@
     helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(chosen));
     ++asked;
   }
-  helpersPending_[aTarget] = asked + 1;
-  EndHelper(aTarget, aNow);
+  pendingIndirectProbes_[aTarget] = asked + 1;
+  EndIndirectProbe(aTarget, aNow);
 }
 
 /// One helper could not reach the target; after the last, it is suspect.
 void
-Membership::EndHelper(const InstanceId& aTarget, TimePoint aNow)
+Membership::EndIndirectProbe(const InstanceId& aTarget, TimePoint aNow)
 {
-  const auto it = helpersPending_.find(aTarget);
-  if (it == helpersPending_.end() || --it->second > 0) {
+  const auto it = pendingIndirectProbes_.find(aTarget);
+  if (it == pendingIndirectProbes_.end() || --it->second > 0) {
     return;
   }
-  helpersPending_.erase(it);
+  pendingIndirectProbes_.erase(it);
   ++failedRounds_;
   const MemberTable::Entry* entry = table_.Find(aTarget);
   if (!Isolated() && entry != nullptr &&
@@ -102,20 +102,23 @@
     return;
   }
   urgent_ = false;
-  std::vector<InstanceId> near = Peers();
-  for (std::size_t i = 0; i < options_.urgentFanout_ && !near.empty(); ++i) {
-    const std::size_t chosen = random_.Below(near.size());
-    SendTo(CallKind::Push, near[chosen], aNow, aOut);
-    near.erase(near.begin() + static_cast<std::ptrdiff_t>(chosen));
+  std::vector<InstanceId> localPeers = Peers();
+  for (std::size_t i = 0; i < options_.urgentFanout_ && !localPeers.empty();
+       ++i) {
+    const std::size_t chosen = random_.Below(localPeers.size());
+    SendTo(CallKind::Push, localPeers[chosen], aNow, aOut);
+    localPeers.erase(localPeers.begin() + static_cast<std::ptrdiff_t>(chosen));
   }
   if (!IsBridge()) {
     return;
   }
-  std::vector<InstanceId> far = OneOfEachZone();
-  for (std::size_t i = 0; i < options_.urgentZones_ && !far.empty(); ++i) {
-    const std::size_t chosen = random_.Below(far.size());
-    SendTo(CallKind::Push, far[chosen], aNow, aOut);
-    far.erase(far.begin() + static_cast<std::ptrdiff_t>(chosen));
+  std::vector<InstanceId> remoteMembers = PickOnePerZone();
+  for (std::size_t i = 0; i < options_.urgentZones_ && !remoteMembers.empty();
+       ++i) {
+    const std::size_t chosen = random_.Below(remoteMembers.size());
+    SendTo(CallKind::Push, remoteMembers[chosen], aNow, aOut);
+    remoteMembers.erase(remoteMembers.begin() +
+                        static_cast<std::ptrdiff_t>(chosen));
   }
 }
 
--- a/src/process/membership_roles.cpp
+++ b/src/process/membership_roles.cpp
@@ -29,7 +29,7 @@
 }
 
 std::vector<InstanceId>
-Membership::OneOfEachZone()
+Membership::PickOnePerZone()
 {
   std::vector<InstanceId> chosen;
   for (const auto& [zone, members] : otherZones_) {
@@ -57,13 +57,13 @@
 void
 Membership::RefreshRoles() const
 {
-  if (rolesOf_ == changes_) {
+  if (rolesVersion_ == changes_) {
     return;
   }
-  rolesOf_ = changes_;
+  rolesVersion_ = changes_;
   peers_.clear();
   otherZones_.clear();
-  std::size_t before = 0;
+  std::size_t lowerIds = 0;
   for (const auto& [id, entry] : table_.All()) {
     const Member& member = entry.member_;
     if (id == self_.id_ || member.state_ == MemberState::Dead) {
@@ -74,10 +74,11 @@
       continue;
     }
     peers_.push_back(id);
-    const bool stays = member.state_ == MemberState::Alive && !member.leaving_;
-    before += stays && id < self_.id_ ? 1 : 0;
+    const bool eligible =
+      member.state_ == MemberState::Alive && !member.leaving_;
+    lowerIds += eligible && id < self_.id_ ? 1 : 0;
   }
-  bridge_ = before < options_.bridges_;
+  bridge_ = lowerIds < options_.bridgesPerZone_;
 }
 
 } // namespace marjoramtally
--- a/src/process/membership_send.cpp
+++ b/src/process/membership_send.cpp
@@ -91,16 +91,16 @@
       GossipReply{ call.inbound_, Compose(GossipKind::Ack, nullptr, aNow) });
   } else if (call.kind_ == CallKind::Indirect) {
     if (aReply.kind_ == GossipKind::Ack) {
-      helpersPending_.erase(call.target_);
+      pendingIndirectProbes_.erase(call.target_);
     } else {
-      EndHelper(call.target_, aNow);
+      EndIndirectProbe(call.target_, aNow);
     }
   } else if (call.kind_ == CallKind::Sync) {
     syncing_ = false;
     joined_ = true;
     syncCursor_ = aReply.cursor_;
     if (syncCursor_.empty()) {
-      syncWith_.clear();
+      syncPeer_.clear();
     }
   }
   return out;
@@ -119,10 +119,10 @@
   GossipActions out;
   switch (call.kind_) {
     case CallKind::Direct:
-      ProbeThroughHelpers(call.target_, aNow, out);
+      ProbeIndirectly(call.target_, aNow, out);
       break;
     case CallKind::Indirect:
-      EndHelper(call.target_, aNow);
+      EndIndirectProbe(call.target_, aNow);
       break;
     case CallKind::Relay:
       out.emplace_back(
@@ -131,7 +131,7 @@
     case CallKind::Sync:
       syncing_ = false;
       nextSync_ = aNow + options_.probePeriod_;
-      syncWith_.clear();
+      syncPeer_.clear();
       syncCursor_.clear();
       break;
     case CallKind::Remote:
@@ -154,12 +154,12 @@
     // Tell the accused, so that it can refute.
     message.updates_.push_back(Compact(*aTo));
   }
-  Fill(message, aTo == nullptr || aTo->zone_ != self_.zone_, aNow);
+  AppendPending(message, aTo == nullptr || aTo->zone_ != self_.zone_, aNow);
   return message;
 }
 
 void
-Membership::Fill(GossipMessage& aMessage, bool aRemote, TimePoint aNow)
+Membership::AppendPending(GossipMessage& aMessage, bool aRemote, TimePoint aNow)
 {
   const auto takeMember = [&](const InstanceId& aId, std::size_t aLeft) {
     const MemberTable::Entry* entry = table_.Find(aId);
--- a/src/process/membership_sync.cpp
+++ b/src/process/membership_sync.cpp
@@ -17,19 +17,19 @@
 void
 Membership::CompareTables(const GossipMessage& aMessage, const Member* aSender)
 {
-  const bool home = aSender != nullptr && aSender->zone_ == self_.zone_;
-  std::size_t& mismatch = home ? localMismatch_ : remoteMismatch_;
+  const bool sameZone = aSender != nullptr && aSender->zone_ == self_.zone_;
+  std::size_t& mismatch = sameZone ? localMismatch_ : remoteMismatch_;
   if (aMessage.tableHash_ == table_.Hash()) {
     mismatch = 0;
     return;
   }
   ++mismatch;
   const std::size_t limit =
-    home ? options_.localMismatches_ : options_.remoteMismatches_;
-  if (mismatch >= limit && !syncing_ && syncWith_.empty() &&
+    sameZone ? options_.localMismatches_ : options_.remoteMismatches_;
+  if (mismatch >= limit && !syncing_ && syncPeer_.empty() &&
       aSender != nullptr) {
     mismatch = 0;
-    syncWith_ = aSender->rpc_;
+    syncPeer_ = aSender->rpc_;
     syncCursor_.clear();
   }
 }
@@ -42,14 +42,14 @@
     return;
   }
   const bool alone = peers_.empty() && otherZones_.empty();
-  if (syncWith_.empty() && (!joined_ || alone) && !seeds_.empty()) {
-    syncWith_ = seeds_[random_.Below(seeds_.size())];
+  if (syncPeer_.empty() && (!joined_ || alone) && !seeds_.empty()) {
+    syncPeer_ = seeds_[random_.Below(seeds_.size())];
   }
-  if (syncWith_.empty() && aNow >= nextSeedCheck_) {
+  if (syncPeer_.empty() && aNow >= nextSeedCheck_) {
     nextSeedCheck_ = aNow + kSeedPeriod;
-    syncWith_ = UnknownSeed();
+    syncPeer_ = PickUnknownSeed();
   }
-  if (syncWith_.empty()) {
+  if (syncPeer_.empty()) {
     return;
   }
   GossipMessage request = Compose(GossipKind::Sync, nullptr, aNow);
@@ -61,7 +61,7 @@
   syncing_ = true;
   ++counters_.syncs_;
   aOut.emplace_back(Send({ CallKind::Sync, {}, {} },
-                         syncWith_,
+                         syncPeer_,
                          std::move(request),
                          options_.indirectTimeout_));
 }
@@ -69,7 +69,7 @@
 /// A seed that is no living member here: it may belong to an island of members
 /// that joined by each other and never heard of us.
 std::string
-Membership::UnknownSeed()
+Membership::PickUnknownSeed()
 {
   std::set<std::string> known{ self_.rpc_ };
   for (const auto& [id, entry] : table_.All()) {
--- a/src/process/poll_plan.cpp
+++ b/src/process/poll_plan.cpp
@@ -47,26 +47,27 @@
 std::vector<UpstreamView>
 PollPlan::Subset(const std::vector<UpstreamView>& aUpstreams) const
 {
-  struct Sides
+  struct Candidates
   {
-    std::vector<Ranked> near_;
-    std::vector<Ranked> far_;
+    std::vector<Ranked> local_;
+    std::vector<Ranked> remote_;
   };
-  std::map<ServiceId, Sides> services;
+  std::map<ServiceId, Candidates> services;
   for (const UpstreamView& upstream : aUpstreams) {
-    Sides& sides = services[upstream.service_];
-    auto& side = upstream.zone_ == zone_ ? sides.near_ : sides.far_;
-    side.emplace_back(Rank(self_, upstream.id_), &upstream);
+    Candidates& candidates = services[upstream.service_];
+    auto& candidateList =
+      upstream.zone_ == zone_ ? candidates.local_ : candidates.remote_;
+    candidateList.emplace_back(Rank(self_, upstream.id_), &upstream);
   }
   std::vector<UpstreamView> subset;
-  for (auto& [service, sides] : services) {
-    const std::size_t far =
-      std::min(sides.far_.size(),
-               std::max(settings_.farInSubset_,
-                        settings_.subset_ -
-                          std::min(settings_.subset_, sides.near_.size())));
-    TakeFirst(sides.near_, settings_.subset_ - far, subset);
-    TakeFirst(sides.far_, far, subset);
+  for (auto& [service, candidates] : services) {
+    const std::size_t remoteCount = std::min(
+      candidates.remote_.size(),
+      std::max(settings_.remoteInSubset_,
+               settings_.subsetSize_ -
+                 std::min(settings_.subsetSize_, candidates.local_.size())));
+    TakeFirst(candidates.local_, settings_.subsetSize_ - remoteCount, subset);
+    TakeFirst(candidates.remote_, remoteCount, subset);
   }
   return subset;
 }
@@ -89,9 +90,9 @@
 PollPlan::Period() const noexcept
 {
   const double spread =
-    static_cast<double>(polls_.size()) / settings_.mostPerSecond_;
+    static_cast<double>(polls_.size()) / settings_.maxPollsPerSecond_;
   return std::max(
-    settings_.shortestPeriod_,
+    settings_.minPeriod_,
     Duration(static_cast<Duration::rep>(spread * kMicrosPerSecond)));
 }
 
--- a/src/process/relay_plan.cpp
+++ b/src/process/relay_plan.cpp
@@ -13,20 +13,20 @@
 } // namespace
 
 std::string
-WriteLifeRecord(const LifeRecord& aRecord)
+WriteLivenessRecord(const LivenessRecord& aRecord)
 {
   return Json{
     { "zone", aRecord.zone_.Get() }, { "address", aRecord.address_ }
   }.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Result<LifeRecord>
-ReadLifeRecord(std::string_view aText)
+Result<LivenessRecord>
+ReadLivenessRecord(std::string_view aText)
 {
   try {
     const Json value = Json::parse(aText);
-    return LifeRecord{ ZoneId{ value.at("zone").get<std::string>() },
-                       value.at("address").get<std::string>() };
+    return LivenessRecord{ ZoneId{ value.at("zone").get<std::string>() },
+                           value.at("address").get<std::string>() };
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
                   std::string("a sign of life is unreadable: ") +
@@ -41,7 +41,7 @@
 }
 
 void
-RelayPlan::OnAlive(const std::string& aIncarnation, LifeRecord aRecord)
+RelayPlan::OnAlive(const std::string& aIncarnation, LivenessRecord aRecord)
 {
   alive_[aIncarnation] = std::move(aRecord);
   relays_.clear();
@@ -88,13 +88,13 @@
       order.emplace_back(hash(aPrefix + incarnation), &incarnation);
     }
   }
-  if (order.size() < policy_.leastPeers_) {
+  if (order.size() < policy_.minPeers_) {
     return {};
   }
   std::sort(order.begin(), order.end());
   const std::size_t wanted = std::max(
-    policy_.leastRelays_,
-    (order.size() + policy_.peersOfRelay_ - 1) / policy_.peersOfRelay_);
+    policy_.minRelays_,
+    (order.size() + policy_.peersPerRelay_ - 1) / policy_.peersPerRelay_);
   std::vector<std::string> chosen;
   std::set<ZoneId> zones;
   for (const bool sameZone : { false, true }) {
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -28,9 +28,9 @@
 LifeOptions(const GatewayContext& aHost)
 {
   return { job_keys::Life(aHost.Incarnation()),
-           WriteLifeRecord({ ZoneId{ aHost.Settings().zone_ },
-                             aHost.Settings().address_ + ":" +
-                               std::to_string(aHost.Settings().rpcPort_) }),
+           WriteLivenessRecord({ ZoneId{ aHost.Settings().zone_ },
+                                 aHost.Settings().address_ + ":" +
+                                   std::to_string(aHost.Settings().rpcPort_) }),
            kIdleTtl,
            false };
 }
--- a/src/programs/gatewayd/job_directory.cpp
+++ b/src/programs/gatewayd/job_directory.cpp
@@ -130,7 +130,7 @@
 {
   lives_.insert(aRecord.key_);
   takeover_.OnAlive(aIncarnation, host_.Now());
-  auto life = ReadLifeRecord(aRecord.value_);
+  auto life = ReadLivenessRecord(aRecord.value_);
   if (life) {
     addresses_[aIncarnation] = life.value().address_;
     owners_.OnAlive(aIncarnation, life.value().address_);
@@ -218,7 +218,7 @@
   const std::int64_t now = host_.WallMillis();
   for (const auto& [job, known] : jobs_) {
     const std::chrono::milliseconds age(now - known.record_.acceptedMillis_);
-    if (known.ended_ && takeover_.IsFirst(job) &&
+    if (known.ended_ && takeover_.RanksFirst(job) &&
         age > host_.Settings().statusTime_ + kRemoveSlack) {
       LogEvent(LogLevel::Info, "job_removed", { { "job", job.Get() } });
       store_.Remove(job, known.record_.total_);
--- a/src/programs/orderd/gateway_poll.cpp
+++ b/src/programs/orderd/gateway_poll.cpp
@@ -66,7 +66,7 @@
 void
 GatewayPoll::TakeLife(const StoreRecord& aRecord)
 {
-  auto life = ReadLifeRecord(aRecord.value_);
+  auto life = ReadLivenessRecord(aRecord.value_);
   if (life) {
     gateways_[aRecord.key_.substr(kLives.size())] = std::move(life).value();
   } else {
--- a/src/programs/orderd/gateway_poll.hpp
+++ b/src/programs/orderd/gateway_poll.hpp
@@ -48,7 +48,7 @@
   GatewayContext& host_;
   DutyLease& lease_;
   std::unique_ptr<PrefixFollower> lives_;
-  std::map<std::string, LifeRecord> gateways_;
+  std::map<std::string, LivenessRecord> gateways_;
   /// From this process's monotonic clock to the true time.
   Duration offset_{ 0 };
   bool calibrated_ = false;
--- a/tests/job_play.cpp
+++ b/tests/job_play.cpp
@@ -38,7 +38,7 @@
           aFakes.timers_,
           aFakes.clock_,
           { job_keys::Life(incarnation_),
-            WriteLifeRecord({ ZoneId{ "z1" }, aAddress }),
+            WriteLivenessRecord({ ZoneId{ "z1" }, aAddress }),
             kIdleLease,
             false })
 {
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -27,7 +27,7 @@
     routes_.Apply(ItemRoutes());
     AddUpstream("e0", "lm", 5);
     GatewayFakes::store_.Put(job_keys::Life("self~1"),
-                             WriteLifeRecord({ ZoneId{ "z" }, "a:1" }));
+                             WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
     directory_.Start();
     timers_.Advance(10ms);
   }
@@ -142,7 +142,8 @@
 {
   ForeignFixture()
   {
-    Put(job_keys::Life("other~1"), WriteLifeRecord({ ZoneId{ "z" }, "a:2" }));
+    Put(job_keys::Life("other~1"),
+        WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     Put(job_keys::Owner(kForeign), WriteOwnerRecord({ "other~1", 2, 0 }));
     PutPart(0, kHead + R"({"model":"m","items":[)" + Items({ "a1", "a2" }));
     PutPart(1, "]}");
@@ -411,7 +412,7 @@
   SECTION("another process has taken the job over")
   {
     store.Put(job_keys::Life("other~1"),
-              WriteLifeRecord({ ZoneId{ "z" }, "a:2" }));
+              WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     store.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "other~1", 1, 0 }));
   }
   SECTION("it was ended")
--- a/tests/test_job_directory.cpp
+++ b/tests/test_job_directory.cpp
@@ -33,7 +33,7 @@
       owners_.push_back(aKnown.record_.owner_);
     };
     directory_.onEnd_ = [&](const JobId& aJob) { ends_.push_back(aJob.Get()); };
-    const std::string life = WriteLifeRecord({ ZoneId{ "z" }, "a:1" });
+    const std::string life = WriteLivenessRecord({ ZoneId{ "z" }, "a:1" });
     store_.Put(job_keys::Life("self~1"), life);
     store_.Put(job_keys::Life("other~1"), life);
     store_.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "other~1", 3, 0 }));
@@ -129,7 +129,7 @@
   const JobId open{ "open" };
   const std::int64_t now = fakes.context_.WallMillis();
   fakes.store_.Put(job_keys::Life("self~1"),
-                   WriteLifeRecord({ ZoneId{ "z" }, "a:1" }));
+                   WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
   for (const auto& [job, accepted] : { std::pair{ kJob, std::int64_t{ 0 } },
                                        std::pair{ fresh, now },
                                        std::pair{ open, std::int64_t{ 0 } } }) {
--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -28,9 +28,9 @@
     second_.directory_.Start();
     timers_.Advance(20ms);
     store_.Put(job_keys::Life("one~1"),
-               WriteLifeRecord({ ZoneId{ "z" }, "a:1" }));
+               WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
     store_.Put(job_keys::Life("two~1"),
-               WriteLifeRecord({ ZoneId{ "z" }, "a:2" }));
+               WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     timers_.Advance(20ms);
     constexpr int kEnough = 100;
     for (int i = 0; i < kEnough && model_.empty(); ++i) {
--- a/tests/test_relays.cpp
+++ b/tests/test_relays.cpp
@@ -169,10 +169,10 @@
 TEST_CASE("signs of life come back as they were written")
 {
   const auto record =
-    ReadLifeRecord(WriteLifeRecord({ ZoneId{ "z" }, "10.0.0.1:7" }));
+    ReadLivenessRecord(WriteLivenessRecord({ ZoneId{ "z" }, "10.0.0.1:7" }));
   REQUIRE(record.value().zone_ == ZoneId{ "z" });
   REQUIRE(record.value().address_ == "10.0.0.1:7");
-  REQUIRE(ReadLifeRecord("front-1").error().kind_ == ErrorKind::BadInput);
+  REQUIRE(ReadLivenessRecord("front-1").error().kind_ == ErrorKind::BadInput);
 }
 
 TEST_CASE("questions and changes come back as they were encoded")
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -361,7 +361,7 @@
     PollPlan plan(ZoneId{ "z0" }, "entry-" + std::to_string(entry));
     TimePoint now;
     plan.SetUpstreams(views, now);
-    CHECK(plan.size() == settings.subset_);
+    CHECK(plan.size() == settings.subsetSize_);
     std::size_t polls = 0;
     std::size_t far = 0;
     for (int tick = 0; tick < 400; ++tick) {
@@ -372,7 +372,7 @@
       }
       now = now + milliseconds(50);
     }
-    CHECK(polls <= 20 * settings.mostPerSecond_ * 1.2);
+    CHECK(polls <= 20 * settings.maxPollsPerSecond_ * 1.2);
     CHECK(far > 0);
     CHECK(far < polls / 2);
   }
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -285,7 +285,8 @@
     settings_.dutyCalls_ = "cloud:1";
     settings_.usageWindow_ = 5s;
     settings_.usageLate_ = 10s;
-    store_.Put("mt/c/live/g1~1", WriteLifeRecord({ ZoneId{ "z1" }, "g1:7" }));
+    store_.Put("mt/c/live/g1~1",
+               WriteLivenessRecord({ ZoneId{ "z1" }, "g1:7" }));
   }
 
   /// The window that is present now.
