--- a/include/marjoramtally/process/config_fanout.hpp
+++ b/include/marjoramtally/process/config_fanout.hpp
@@ -1,4 +1,5 @@
-/// Which instances watch the store for configuration and whom they tell.
+/// Decides which instances watch the store for configuration, and which other
+/// instances they notify.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -7,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// One instance as the choice sees it.
+/// An instance that takes part in the fan-out.
 struct FanoutMember
 {
   ZoneId zone_;
@@ -16,20 +17,21 @@
   std::string rpc_;
 };
 
-/// Instances of a zone that watch the store; two, so that one may die.
+/// Instances of a zone that watch the store; two, so that one may fail.
 inline constexpr std::size_t kWatchersPerZone = 2;
 
-/// What one instance does for the others.
+/// The part of one instance in the fan-out.
 struct FanoutRole
 {
   bool watches_ = false;
-  /// RPC addresses of those it tells of a new revision.
+  /// RPC addresses of the instances that it notifies of a new revision.
   std::vector<std::string> targets_;
 };
 
-/// The first instances of each zone, by id, watch; they tell all others of
-/// their zone and the watchers of the other zones, so that a zone cut off
-/// from the store alone still hears. The rest tell nobody.
+/// The first instances of each zone, by id, watch the store. They notify all
+/// others of their zone and the watchers of the other zones, so that a zone
+/// that is cut off only from the store still receives new revisions. The
+/// remaining instances notify nobody.
 [[nodiscard]] FanoutRole
 ChooseFanout(std::vector<FanoutMember> aMembers, const FanoutMember& aSelf);
 
--- a/include/marjoramtally/process/gossip_items.hpp
+++ b/include/marjoramtally/process/gossip_items.hpp
@@ -1,5 +1,5 @@
-/// The items that members spread: newest version of each, with age, bounded
-/// in number.
+/// The items that members gossip: the newest version of each with its age, up
+/// to a maximum number of items.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -19,16 +19,16 @@
   {
   }
 
-  /// @returns whether the item is newer than what was known and is kept
+  /// @returns whether the item is newer than the known version and was stored
   bool Merge(const GossipItem& aItem, TimePoint aNow);
-  /// @returns the item with its present age, if it has not expired
+  /// @returns the item with its current age, if it has not expired
   [[nodiscard]] std::optional<GossipItem> Find(GossipItemKind aKind,
                                                const std::string& aKey,
                                                TimePoint aNow) const;
-  /// @returns all items of a kind that have not expired
+  /// @returns all items of a kind that have not expired, with current ages
   [[nodiscard]] std::vector<GossipItem> OfKind(GossipItemKind aKind,
                                                TimePoint aNow) const;
-  /// Forgets expired items.
+  /// Removes expired items.
   void RemoveExpired(TimePoint aNow);
   [[nodiscard]] std::size_t Size() const noexcept { return items_.size(); }
 
@@ -37,7 +37,7 @@
   struct Entry
   {
     GossipItem item_;
-    /// When the origin made it, by this process's clock.
+    /// When the origin created the item, on this process's clock.
     TimePoint createdAt_;
   };
 
--- a/include/marjoramtally/process/gossip_queue.hpp
+++ b/include/marjoramtally/process/gossip_queue.hpp
@@ -1,5 +1,5 @@
-/// What still has to be spread: picks the least sent subjects for a message,
-/// within its budget of bytes.
+/// Subjects that still have to be gossiped; those sent least often are picked
+/// for a message first, within its byte budget.
 #pragma once
 
 #include "marjoramtally/connection/gossip_messages.hpp"
@@ -10,7 +10,7 @@
 
 namespace marjoramtally {
 
-/// Names a member or an item.
+/// Identifies a member or an item.
 struct GossipSubject
 {
   /// 0 for a member, else the item's kind.
@@ -22,27 +22,28 @@
   [[nodiscard]] static GossipSubject Of(const GossipItem& aItem);
 };
 
-/// A message with less room than this is full.
+/// A message with less free space than this counts as full.
 inline constexpr std::size_t kMinSubjectBytes = 70;
 
-/// Subjects by how often each was sent.
+/// Subjects ordered by how often each was sent.
 class GossipQueue
 {
 public:
-  /// @param aMaxSubjects subjects kept; beyond it the most sent are dropped
+  /// @param aMaxSubjects maximum number of subjects; beyond it the one sent
+  /// most often is dropped
   explicit GossipQueue(std::size_t aMaxSubjects = 512) noexcept
     : maxSubjects_(aMaxSubjects)
   {
   }
 
-  /// Spreads a subject anew, as if never sent.
+  /// Adds a subject, or resets its send count.
   void Add(const GossipSubject& aSubject);
   void Remove(const GossipSubject& aSubject);
   [[nodiscard]] std::size_t Size() const noexcept { return sent_.size(); }
 
-  /// Calls `aTake(subject)` in order of times sent. It returns the bytes
-  /// that the subject adds to the message, 0 to pass it over, and is stopped
-  /// once `aBudget` bytes are used; `aTake` is told what is left. A subject
+  /// Calls `aTake(subject, bytesLeft)` in order of send count, until fewer than
+  /// `kMinSubjectBytes` of `aBudget` are left. `aTake` returns the bytes that
+  /// the subject adds to the message, or 0 to skip it. A subject that has been
   /// sent `aLimit` times is dropped.
   template<typename Take>
   void Pick(std::size_t aBudget, std::uint32_t aLimit, Take aTake);
--- a/include/marjoramtally/process/job_takeover.hpp
+++ b/include/marjoramtally/process/job_takeover.hpp
@@ -1,4 +1,4 @@
-/// Which process takes over a job whose owner is gone.
+/// Decides which process takes over a job whose owner is gone, and when.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,7 +11,7 @@
 
 namespace marjoramtally {
 
-/// Names one run of the process of an instance.
+/// @returns the name of one run of an instance's process
 [[nodiscard]] std::string
 MakeIncarnationName(const InstanceId& aInstance, std::string_view aRun);
 
@@ -19,22 +19,25 @@
 [[nodiscard]] InstanceId
 InstanceOf(std::string_view aIncarnation);
 
-/// Times that govern takeovers.
+/// Delays and time windows of takeovers.
 struct TakeoverPolicy
 {
-  /// A sign of life that vanished may come back this long: all vanish at once
-  /// when leases lapse while the store is away, and their processes live.
+  /// How long a liveness record that vanished may reappear: all vanish at once
+  /// when leases expire while the store is unavailable, although their
+  /// processes are alive.
   Duration returnGrace_ = std::chrono::milliseconds(1200);
-  /// Where most other signs of life stay, the store was not away, and those
-  /// that vanished within this time of each other are gone: a zone that was
-  /// cut off, or processes that died. Their jobs are taken over at once.
+  /// Liveness records that vanish within this time of each other count
+  /// together. If more records remain, the store was available and the
+  /// processes are gone: they died, or their zone was cut off.
+  /// `lossGrace_` then applies instead of `returnGrace_`.
   Duration correlationWindow_ = std::chrono::milliseconds(1500);
+  /// Zero: jobs of processes that are gone are taken over at once.
   Duration lossGrace_{ 0 };
-  /// Each further candidate waits this much longer than the one before.
+  /// Additional delay of each further candidate.
   Duration rankStep_ = std::chrono::milliseconds(700);
 };
 
-/// The processes that may own jobs, by their signs of life, and the jobs.
+/// The jobs, and the processes that may own them by their liveness records.
 class JobTakeover
 {
 public:
@@ -43,19 +46,19 @@
 
   void OnAlive(const std::string& aIncarnation, TimePoint aNow);
   void OnGone(const std::string& aIncarnation, TimePoint aNow);
-  /// @param aOwner empty: given back
+  /// @param aOwner empty: the job was returned by its owner
   void OnOwner(const JobId& aJob, std::string aOwner, TimePoint aNow);
   void OnEnded(const JobId& aJob);
 
   /// @returns jobs that this process should claim now
   [[nodiscard]] std::vector<JobId> Due(TimePoint aNow) const;
-  /// @returns whether of all processes this one is to look after a job that
-  /// needs no owner any more
+  /// @returns whether this process ranks first for a job, and so looks after it
+  /// when it no longer needs an owner
   [[nodiscard]] bool RanksFirst(const JobId& aJob) const
   {
     return Rank(aJob) == 0;
   }
-  /// @returns when `Due` next has to be asked; `kNever` if all have an owner
+  /// @returns when to call `Due` next; `kNever` if all jobs have an owner
   [[nodiscard]] TimePoint NextDue() const;
 
 private:
@@ -65,18 +68,18 @@
     TimePoint since_;
   };
 
-  /// @returns when this process should claim the job; `kNever` if its owner
-  /// lives
+  /// @returns when this process should claim the job; `kNever` if its owner is
+  /// alive
   [[nodiscard]] TimePoint ClaimAt(const JobId& aJob,
                                   const Ownership& aOwnership) const;
   [[nodiscard]] std::size_t Rank(const JobId& aJob) const;
-  /// @returns how long a sign of life that vanished then may come back
+  /// @returns how long a liveness record that vanished then may reappear
   [[nodiscard]] Duration GraceOf(TimePoint aGone) const;
 
   std::string self_;
   TakeoverPolicy policy_;
   std::set<std::string> alive_;
-  /// When signs of life vanished.
+  /// When liveness records vanished, by incarnation.
   std::map<std::string, TimePoint> gone_;
   std::map<JobId, Ownership> jobs_;
 };
--- a/include/marjoramtally/process/lease.hpp
+++ b/include/marjoramtally/process/lease.hpp
@@ -1,5 +1,6 @@
-/// Leases as their holder sees them: when to ask, when to stop, how long to
-/// wait after a failure; and a budget of calls to the platform's store.
+/// The holder's side of a lease: when to call the store, when to stop acting,
+/// how long to back off after a failure. Also a rate budget for calls to the
+/// platform's store.
 #pragma once
 
 #include "marjoramtally/base/backoff.hpp"
@@ -11,19 +12,20 @@
 
 namespace marjoramtally {
 
-/// Times of a lease.
+/// Durations of a lease.
 struct LeaseOptions
 {
   /// How long the store keeps the lease after a heartbeat.
   Duration ttl_ = std::chrono::seconds(10);
-  /// The holder stops this long before the store may let the lease go; covers
-  /// the difference between the two clocks and an order already under way.
+  /// The holder stops acting this long before the store may expire the lease;
+  /// covers the difference between the two clocks and an order already in
+  /// progress.
   Duration margin_ = std::chrono::seconds(1);
   Duration initialBackoff_ = std::chrono::milliseconds(200);
   Duration maxBackoff_ = std::chrono::seconds(5);
 };
 
-/// What the holder is to ask of the store now.
+/// The call that the holder should make to the store now.
 enum class LeaseStep : std::uint8_t
 {
   Wait,
@@ -31,19 +33,19 @@
   KeepAlive,
 };
 
-/// What the store answered.
+/// Outcome of a call to the store.
 enum class LeaseAnswer : std::uint8_t
 {
   /// Granted, or kept alive.
   Confirmed,
   /// The store no longer has the lease.
   Gone,
-  /// No answer, or none that says so; the call may have taken effect.
+  /// No conclusive answer; the call may have taken effect.
   Unknown,
 };
 
-/// One lease from grant to lapse. A heartbeat counts from when it was sent,
-/// never from when its answer came. Not thread-safe.
+/// One lease from grant to expiry. The lease period counts from when a
+/// heartbeat was sent, never from when its answer arrived. Not thread-safe.
 class LeaseKeeper
 {
 public:
@@ -54,27 +56,28 @@
   {
   }
 
-  /// @returns what to ask now; the call counts as sent at `aNow`, and its
-  /// answer must be given to `OnAnswer`
+  /// @returns the call to make now; it counts as sent at `aNow`, and its
+  /// outcome must be passed to `OnAnswer`
   LeaseStep Next(TimePoint aNow) noexcept;
-  /// @param aSentAt the `aNow` of the `Next` that asked; an answer to an
-  /// earlier call than the last changes nothing
-  /// @returns whether the answer was taken
+  /// @param aSentAt the `aNow` of the `Next` that returned the call; answers to
+  /// calls before the last one are ignored
+  /// @returns whether the answer was used
   bool OnAnswer(LeaseAnswer aAnswer,
                 TimePoint aSentAt,
                 TimePoint aNow) noexcept;
-  /// Gives the lease up, for instance before it is revoked.
+  /// Stops holding the lease, for instance before it is revoked.
   void Drop() noexcept;
 
-  /// Whether the holder may act now. Ask right before each act: after a
-  /// pause this is false before anything else is known.
+  /// Whether the holder may act now. Check immediately before each action:
+  /// after a pause of the process this is false before the store has been
+  /// asked.
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
     return aNow < StopAt();
   }
-  /// @returns when the holder must stop if nothing more is confirmed
+  /// @returns when the holder must stop unless another call is confirmed
   [[nodiscard]] TimePoint StopAt() const noexcept;
-  /// Whether the store may still have the lease: it may be kept alive.
+  /// Whether the store may still have the lease, so that it can be kept alive.
   [[nodiscard]] bool Granted() const noexcept { return granted_; }
   [[nodiscard]] TimePoint NextAt() const noexcept { return nextAt_; }
 
@@ -98,7 +101,7 @@
   Read,
   Write,
   Lease,
-  /// Opening a watch; it counts once, however long it waits.
+  /// Opening a watch; counts once, however long the watch stays open.
   Watch,
 };
 
@@ -108,14 +111,14 @@
 [[nodiscard]] std::string_view
 ToString(StoreCallKind aKind) noexcept;
 
-/// A share of the store's rate for one process. Heartbeats and writes always
-/// go, and are paid for by reads that come later; reads and watches are
-/// refused when the budget is spent. Not thread-safe.
+/// One process's share of the store's call rate, as a token bucket. Heartbeats
+/// and writes are always allowed, at the expense of later reads; reads and
+/// watches are refused while the budget is spent. Not thread-safe.
 class StoreBudget
 {
 public:
-  /// @param aTokensPerSecond calls a second that are earned
-  /// @param aBurst most calls saved up
+  /// @param aTokensPerSecond calls per second added to the budget
+  /// @param aBurst maximum number of calls saved up
   StoreBudget(double aTokensPerSecond, double aBurst) noexcept
     : tokensPerSecond_(aTokensPerSecond)
     , burst_(aBurst)
@@ -123,7 +126,7 @@
   {
   }
 
-  /// @returns whether the call may be made; it is then counted
+  /// @returns whether the call may be made; if so, it is counted
   bool Take(StoreCallKind aKind, TimePoint aNow) noexcept;
   [[nodiscard]] std::uint64_t Count(StoreCallKind aKind) const noexcept
   {
--- a/include/marjoramtally/process/member_table.hpp
+++ b/include/marjoramtally/process/member_table.hpp
@@ -1,5 +1,5 @@
-/// The members that a process knows, and which of two updates about one of
-/// them wins.
+/// Table of the members that a process knows, and the order of precedence of
+/// updates about a member.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,28 +10,27 @@
 
 namespace marjoramtally {
 
-/// What an update changed.
+/// Result of merging an update.
 enum class MergeOutcome
 {
-  /// Older than what is known, or the same.
+  /// Not newer than the known state, or the table is full.
   Ignored,
   Changed,
-  /// About a member or incarnation whose full record is not known here.
+  /// About a member or incarnation whose complete record is not known here.
   NeedsRecord,
 };
 
-/// Bounds of a table.
+/// Limits of a table.
 struct MemberTableOptions
 {
-  /// How long a dead member is remembered, so that late updates do not
-  /// revive it.
+  /// How long a dead member is kept, so that late updates do not revive it.
   Duration tombstoneRetention_ = std::chrono::hours(2);
-  /// Most members kept, dead ones included; further ones are refused.
+  /// Maximum number of members, including dead ones; others are ignored.
   std::size_t maxEntries_ = 4096;
 };
 
 /// All members by id. Updates about one member are ordered by incarnation,
-/// then by refutation, then by state; a leaving mark stays for the whole
+/// then by refutation, then by state; a leaving mark persists for the whole
 /// incarnation.
 class MemberTable
 {
@@ -40,7 +39,7 @@
   {
     Member member_;
     TimePoint changedAt_;
-    /// When a suspicion ends; only while suspect.
+    /// When a suspicion expires; set only while suspect.
     TimePoint deadline_ = kNever;
   };
 
@@ -50,10 +49,10 @@
   }
 
   MergeOutcome Merge(const Member& aUpdate, TimePoint aNow);
-  /// Forgets dead members whose time is over.
+  /// Removes dead members that were kept for `tombstoneRetention_`.
   void RemoveExpired(TimePoint aNow);
   [[nodiscard]] const Entry* Find(const InstanceId& aId) const;
-  /// Sets when a suspicion ends.
+  /// Sets when a suspicion expires.
   void SetDeadline(const InstanceId& aId, TimePoint aDeadline);
   [[nodiscard]] const std::map<InstanceId, Entry>& All() const noexcept
   {
@@ -70,7 +69,7 @@
 
 private:
   MergeOutcome Insert(const Member& aUpdate, TimePoint aNow);
-  /// Marks others dead whose address a new incarnation has taken over.
+  /// Marks other members dead whose address is now used by a newer one.
   void MarkFormerHolderDead(const Member& aNewcomer, TimePoint aNow);
   void ToggleHash(const Member& aMember);
 
--- a/include/marjoramtally/process/membership.hpp
+++ b/include/marjoramtally/process/membership.hpp
@@ -1,6 +1,6 @@
-/// Membership between instances without a coordinator: probes, indirect
-/// probes, suspicion and refutation within a zone; a few links between zones;
-/// changes ride on the messages that are sent anyway.
+/// Gossip membership between instances, without a coordinator: direct and
+/// indirect probes, suspicion and refutation within a zone, and a few links
+/// between zones. Changes are piggybacked on messages that are sent anyway.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -14,45 +14,49 @@
 
 namespace marjoramtally {
 
-/// Times and bounds of the protocol.
+/// Timeouts and limits of the protocol.
 struct MembershipOptions
 {
-  /// Each member probes one other of its zone this often.
+  /// Interval at which each member probes another one of its zone.
   Duration probePeriod_ = std::chrono::seconds(1);
   Duration probeTimeout_ = std::chrono::milliseconds(500);
-  /// Longest wait for a helper, its own probe included.
+  /// Timeout of an indirect probe, including the intermediary's own probe.
   Duration indirectTimeout_ = std::chrono::seconds(1);
+  /// Members asked to probe an unresponsive member on behalf of this one.
   std::size_t indirectProbes_ = 3;
-  /// From suspicion to dead, unless refuted.
+  /// A suspect member that has not refuted after this time is dead.
   Duration suspicion_ = std::chrono::seconds(5);
-  /// No event for this long means that this process was paused.
+  /// A longer gap between two events means that this process was paused.
   Duration pauseGap_ = std::chrono::seconds(2);
-  /// A contact with another zone is spread at most this often.
+  /// A contact with another zone is announced at most once in this time.
   Duration contactPeriod_ = std::chrono::seconds(10);
-  /// Without contact for this long a zone counts as cut off.
+  /// A zone without contact for this long counts as unreachable.
   Duration contactTtl_ = std::chrono::seconds(30);
-  /// Members of a zone that is cut off this long are given up.
+  /// Members of a zone without contact for this long are declared dead.
   Duration zoneRetention_ = std::chrono::hours(2);
-  /// Members of a zone that keep links to other zones.
+  /// Members of each zone that keep links to other zones.
   std::size_t bridgesPerZone_ = 2;
-  /// Bytes of updates and items in one message, and in a page of a sync.
+  /// Maximum bytes of updates and items in one message.
   std::size_t messageBudget_ = 500;
+  /// Maximum bytes of members in one page of a sync.
   std::size_t pageBudget_ = 2048;
-  /// Members, and zones, that hear an urgent change at once.
+  /// Members of the own zone that an urgent change is pushed to immediately.
   std::size_t urgentFanout_ = 3;
+  /// Other zones that a bridge pushes an urgent change to immediately.
   std::size_t urgentZones_ = 2;
-  /// Failed probes in a row, with nothing heard, that mean that this
-  /// process is the one cut off.
+  /// After this many failed probe rounds in a row, with no message received,
+  /// this process regards itself as the one that is cut off.
   std::size_t isolationThreshold_ = 3;
-  /// Peers in a row with another table hash before a sync.
+  /// Messages in a row with a different table hash that trigger a sync, from
+  /// the own zone and from other zones.
   std::size_t localMismatches_ = 8;
   std::size_t remoteMismatches_ = 3;
 };
 
-/// Names one call, sent or received.
+/// Identifies one call, sent or received.
 using GossipCall = Strong<std::uint64_t, struct GossipCallTag>;
 
-/// Send a request; answer with `OnReply` or `OnFailed`.
+/// Send a request; report its outcome with `OnReply` or `OnFailed`.
 struct GossipSend
 {
   GossipCall call_;
@@ -61,7 +65,7 @@
   GossipMessage message_;
 };
 
-/// Answer a request that `OnRequest` was given.
+/// Answer a request that was passed to `OnRequest`.
 struct GossipReply
 {
   GossipCall call_;
@@ -71,17 +75,17 @@
 using GossipAction = std::variant<GossipSend, GossipReply>;
 using GossipActions = std::vector<GossipAction>;
 
-/// One line of the platform's list of instances, which lags.
+/// One entry of the platform's instance list, which lags behind.
 struct PlatformInstance
 {
   InstanceId id_;
   std::string rpc_;
   bool leaving_ = false;
-  /// When it was marked; younger incarnations are not meant.
+  /// When it was marked; the mark does not apply to later incarnations.
   Incarnation leavingSince_;
 };
 
-/// Counts what the protocol did.
+/// Event counts of the protocol since the start.
 struct MembershipCounters
 {
   std::uint64_t suspicions_ = 0;
@@ -91,7 +95,7 @@
   std::uint64_t pauses_ = 0;
 };
 
-/// One process's part in the protocol. Not thread-safe.
+/// One process's side of the protocol. Not thread-safe.
 class Membership
 {
 public:
@@ -100,7 +104,7 @@
 
   /// Call several times a second.
   [[nodiscard]] GossipActions Tick(TimePoint aNow);
-  /// @param aCall chosen by the driver; comes back in `GossipReply`
+  /// @param aCall chosen by the driver; returned in `GossipReply`
   [[nodiscard]] GossipActions OnRequest(GossipCall aCall,
                                         const GossipMessage& aRequest,
                                         TimePoint aNow);
@@ -109,17 +113,17 @@
                                       TimePoint aNow);
   [[nodiscard]] GossipActions OnFailed(GossipCall aCall, TimePoint aNow);
 
-  /// RPC addresses to join by; ours is left out.
+  /// Sets the RPC addresses to join through; the own address is ignored.
   void SetSeeds(std::vector<std::string> aAddresses);
-  /// Takes the platform's list: unknown addresses become seeds, leaving
-  /// marks count for the incarnations that they are about.
+  /// Applies the platform's list: unknown addresses become seeds, leaving marks
+  /// apply to the incarnations that they refer to.
   void TakePlatformList(std::span<const PlatformInstance> aList,
                         TimePoint aNow);
-  /// Tells the others which configuration revision is known here.
+  /// Announces the configuration revision that is known here.
   void SetRevision(ConfigRevision aRevision);
-  /// Spreads an item.
+  /// Gossips an item to the other members.
   void Publish(const GossipItem& aItem, TimePoint aNow);
-  /// Marks a member as leaving, for good for its incarnations up to one.
+  /// Marks a member's incarnations up to `aUpTo` as leaving, permanently.
   void MarkLeaving(const InstanceId& aId, Incarnation aUpTo, TimePoint aNow);
   /// Marks this process as leaving.
   void Leave(TimePoint aNow);
@@ -127,38 +131,39 @@
   [[nodiscard]] const Member& Self() const noexcept { return self_; }
   [[nodiscard]] const MemberTable& Table() const noexcept { return table_; }
   [[nodiscard]] const GossipItems& Items() const noexcept { return items_; }
-  /// @returns members to send work to: alive, not leaving, in a zone that is
-  /// not cut off from here; this process included
+  /// @returns members that work may be sent to: alive, not leaving, in a zone
+  /// that is reachable from here; includes this process
   [[nodiscard]] std::vector<Member> Usable(TimePoint aNow) const;
   [[nodiscard]] bool ZoneReachable(const ZoneId& aZone, TimePoint aNow) const;
-  /// Highest configuration revision heard of, and who said so first.
+  /// Highest configuration revision known here.
   [[nodiscard]] ConfigRevision HighestRevision() const noexcept
   {
     return revision_;
   }
+  /// The member from which this process first received that revision.
   [[nodiscard]] const InstanceId& RevisionSource() const noexcept
   {
     return revisionSource_;
   }
-  /// Whether this process is one of the few of its zone with links to other
-  /// zones and to the store.
+  /// Whether this process is one of the few of its zone that keep links to
+  /// other zones and to the store.
   [[nodiscard]] bool IsBridge() const;
-  /// Whether nobody answers this process.
+  /// Whether no other member answers this process.
   [[nodiscard]] bool Isolated() const noexcept
   {
     return failedRounds_ >= options_.isolationThreshold_;
   }
-  /// Whether a younger process runs under this one's name.
+  /// Whether a later incarnation runs under this process's instance id.
   [[nodiscard]] bool Superseded() const noexcept { return superseded_; }
   [[nodiscard]] const MembershipCounters& Counters() const noexcept
   {
     return counters_;
   }
-  /// Grows with every change of members, states or zone contacts.
+  /// Increases with every change of members, states or zone contacts.
   [[nodiscard]] std::uint64_t ChangeCount() const noexcept { return changes_; }
 
 private:
-  /// Most subjects waiting to leave the zone.
+  /// Maximum number of subjects waiting to be sent to other zones.
   static constexpr std::size_t kMaxRemoteQueue = 128;
 
   enum class CallKind : std::uint8_t
@@ -174,7 +179,7 @@
   {
     CallKind kind_ = CallKind::Direct;
     InstanceId target_;
-    /// The request that a relayed probe is for.
+    /// The inbound request that a relayed probe was sent for.
     GossipCall inbound_;
   };
 
@@ -229,8 +234,8 @@
   MemberTable table_;
   GossipItems items_;
   GossipQueue queue_;
-  /// What still has to leave the zone; counted apart, so that sends within
-  /// the zone do not use it up.
+  /// Subjects still to be sent to other zones. Their sends are counted apart,
+  /// so that sends within the zone do not use up their send limit.
   GossipQueue remoteQueue_{ kMaxRemoteQueue };
   ConfigRevision revision_;
   InstanceId revisionSource_;
@@ -239,7 +244,7 @@
 
   std::uint64_t nextCall_ = 1;
   std::unordered_map<GossipCall, Call> calls_;
-  /// Helpers yet to answer, by target.
+  /// Indirect probes not yet answered, by target.
   std::map<InstanceId, std::size_t> pendingIndirectProbes_;
   std::vector<InstanceId> probeOrder_;
   std::uint64_t nextZone_ = 0;
@@ -264,7 +269,8 @@
   std::string syncPeer_;
   std::string syncCursor_;
 
-  /// Derived from the table, made anew when it has changed.
+  /// Derived from the table as of the change count `rolesVersion_`, and
+  /// refreshed when that count differs from `changes_`.
   mutable std::uint64_t rolesVersion_ = UINT64_MAX;
   mutable bool bridge_ = true;
   mutable std::vector<InstanceId> peers_;
--- a/include/marjoramtally/process/poll_plan.hpp
+++ b/include/marjoramtally/process/poll_plan.hpp
@@ -1,5 +1,5 @@
-/// Which upstreams an entry asks for their load, and when: a subset of
-/// bounded size at a bounded rate, however large the fleet is.
+/// Decides which upstreams an entry polls for their load, and when: a subset of
+/// limited size at a limited rate, however large the fleet is.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -7,34 +7,34 @@
 
 namespace marjoramtally {
 
-/// Bounds of polling.
+/// Limits of polling.
 struct PollSettings
 {
-  /// Upstreams of a service that one entry asks, and so sends to.
+  /// Upstreams of a service that one entry polls, and so sends requests to.
   std::size_t subsetSize_ = 24;
-  /// Of these, upstreams of other zones, against the loss of our own.
+  /// Minimum number of these in other zones, in case the own zone fails.
   std::size_t remoteInSubset_ = 6;
-  /// Polls of all services together; at some 250 bytes each they stay below
+  /// For all services together; at about 250 bytes per poll this stays below
   /// 3 KB/s.
   double maxPollsPerSecond_ = 10;
-  /// Shortest time between two polls of one upstream.
+  /// Minimum time between two polls of one upstream.
   Duration minPeriod_ = std::chrono::milliseconds(200);
 };
 
-/// The plan of one entry. Not thread-safe.
+/// The polling plan of one entry. Not thread-safe.
 class PollPlan
 {
 public:
-  /// @param aSelf name of this process: subsets of different names differ
+  /// @param aSelf name of this process; the subset depends on it
   PollPlan(ZoneId aZone, std::string aSelf, PollSettings aSettings = {});
 
-  /// Takes the upstreams that are known; those of the subset that stay keep
-  /// their place in time.
+  /// Sets the known upstreams; those that stay in the subset keep the time of
+  /// their next poll.
   void SetUpstreams(const std::vector<UpstreamView>& aUpstreams,
                     TimePoint aNow);
-  /// @returns upstreams to poll now; their next polls are planned
+  /// @returns upstreams to poll now; schedules their next polls
   [[nodiscard]] std::vector<UpstreamView> Due(TimePoint aNow);
-  /// @returns upstreams in the subset
+  /// @returns number of upstreams in the subset
   [[nodiscard]] std::size_t size() const noexcept { return polls_.size(); }
   /// @returns time between two polls of one upstream
   [[nodiscard]] Duration Period() const noexcept;
--- a/include/marjoramtally/process/relay_plan.hpp
+++ b/include/marjoramtally/process/relay_plan.hpp
@@ -1,8 +1,8 @@
-/// Which processes watch the store for the others, and whom to ask.
-///
-/// Every process works the plan out from the signs of life, so that nothing
-/// has to be agreed: while views differ, a process asks one that does not
-/// relay, is told so and turns to the store itself.
+/// Decides which processes watch the store on behalf of the others (relays),
+/// and which relays a process uses. Every process computes the plan from the
+/// liveness records, so that no agreement is needed. While views differ, a
+/// process may ask one that is not a relay; that one refuses, and the process
+/// watches the store itself.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -15,11 +15,11 @@
 
 namespace marjoramtally {
 
-/// What a process says of itself beside its sign of life.
+/// Contents of a process's liveness record.
 struct LivenessRecord
 {
   ZoneId zone_;
-  /// Where its peers call it, as IP:PORT; empty: it cannot be called.
+  /// Address for calls by peers, as IP:PORT; empty: it cannot be called.
   std::string address_;
 };
 
@@ -28,21 +28,21 @@
 [[nodiscard]] Result<LivenessRecord>
 ReadLivenessRecord(std::string_view aText);
 
-/// Sizes of the plan.
+/// Limits of the plan.
 struct RelayPlanPolicy
 {
-  /// Fewer processes than this watch the store themselves: what relays would
-  /// save is less than what they cost in failures.
+  /// With fewer processes than this, each watches the store itself: relays
+  /// would save less than they cost in failures.
   std::size_t minPeers_ = 5;
-  /// Processes that one relay serves with one prefix. Each prefix has relays
-  /// of its own: as many questions reach a relay as with 24 processes and
-  /// three prefixes, for a third of the watches.
+  /// Processes that one relay serves with one prefix. Each prefix has its own
+  /// relays. A relay receives as many requests as one that serves 24 processes
+  /// with three prefixes, for a third of the watches.
   std::size_t peersPerRelay_ = 72;
-  /// Relays at the least, for one to fail.
+  /// Minimum number of relays of a prefix, so that one may fail.
   std::size_t minRelays_ = 2;
 };
 
-/// The plan as one process sees it.
+/// The plan as computed by one process.
 class RelayPlan
 {
 public:
@@ -52,7 +52,7 @@
   void OnGone(const std::string& aIncarnation);
 
   /// @returns addresses of the relays of a prefix, in the order in which this
-  /// process asks them; empty: it watches the store itself
+  /// process tries them; empty: it watches the store itself
   [[nodiscard]] const std::vector<std::string>& Relays(
     const std::string& aPrefix) const;
   /// @returns addresses of all other processes that can be called
@@ -65,7 +65,7 @@
   std::string self_;
   RelayPlanPolicy policy_;
   std::map<std::string, LivenessRecord> alive_;
-  /// Relays of the prefixes asked for since the processes last changed.
+  /// Relays by prefix, cached until the set of processes changes.
   mutable std::map<std::string, std::vector<std::string>> relays_;
 };
 
--- a/src/process/job_takeover.cpp
+++ b/src/process/job_takeover.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Between the instance's name and the number of the run.
+/// Separates the instance's name from the number of the run.
 constexpr char kRunSeparator = '~';
 
 } // namespace
@@ -86,7 +86,8 @@
     return kNever;
   }
   if (InstanceOf(aOwnership.owner_) == InstanceOf(self_)) {
-    // The last run of this very process has ended, whatever its lease says.
+    // The owner is an earlier run of this instance. It has ended, even if its
+    // lease has not expired.
     return aOwnership.since_;
   }
   if (alive_.contains(aOwnership.owner_)) {
--- a/src/process/lease.cpp
+++ b/src/process/lease.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Heartbeats sent in the time that a lease lives without one.
+/// Heartbeats sent within one TTL.
 constexpr int kHeartbeatsPerTtl = 3;
-/// A call that is not answered in this share of the time is given up.
+/// A call that is not answered within the TTL divided by this is abandoned.
 constexpr int kAnswerTimeoutsPerTtl = 2;
-/// Heartbeats are spread over the last part of their period.
+/// Heartbeats are spread randomly over this last fraction of their period.
 constexpr double kJitterShare = 0.1;
 
 } // namespace
@@ -19,7 +19,7 @@
 LeaseKeeper::Next(TimePoint aNow) noexcept
 {
   if (asking_ && aNow - sentAt_ >= options_.ttl_ / kAnswerTimeoutsPerTtl) {
-    // The answer is lost.
+    // Timed out waiting for the answer.
     OnAnswer(LeaseAnswer::Unknown, sentAt_, aNow);
   }
   if (asking_ || aNow < nextAt_) {
@@ -105,7 +105,8 @@
     ++refused_;
     return false;
   }
-  // Debt is bounded too, so that reads come back after a burst of writes.
+  // The debt is limited as well, so that reads are allowed again soon after a
+  // burst of writes.
   tokens_ = std::max(tokens_ - 1.0, -burst_);
   ++counts_.at(static_cast<std::size_t>(aKind));
   return true;
--- a/src/process/member_table.cpp
+++ b/src/process/member_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// FNV-1a; equal on all instances, unlike `std::hash`.
+/// FNV-1a; gives the same result on all instances, unlike `std::hash`.
 std::uint64_t
 HashText(const std::string& aText) noexcept
 {
@@ -30,7 +30,8 @@
     .Next();
 }
 
-/// Order of updates about one incarnation, ignoring leaving marks.
+/// @returns whether an update about the same incarnation is newer; leaving
+/// marks are not compared
 bool
 IsNewer(const Member& aUpdate, const Member& aKnown) noexcept
 {
@@ -145,7 +146,7 @@
   return it == zoneHashes_.end() ? 0 : it->second;
 }
 
-/// Adds a living member to the hashes, or takes it out again.
+/// Adds a living member to the hashes, or removes it again.
 void
 MemberTable::ToggleHash(const Member& aMember)
 {
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// How often the table is gone through when no suspicion ends earlier.
+/// Interval of the expiry sweep when no suspicion expires earlier.
 constexpr auto kSweepPeriod = std::chrono::seconds(30);
 
 /// Counts a change that peers, links and bridges do not depend on, so that
-/// they need not be derived anew.
+/// they need not be derived again.
 void
 CountChangeKeepingRoles(std::uint64_t& aChanges, std::uint64_t& aRolesOf)
 {
@@ -155,10 +155,11 @@
   const MemberTable::Entry* known = table_.Find(aUpdate.id_);
   if (aUpdate.state_ == MemberState::Suspect && known != nullptr &&
       known->member_.zone_ != self_.zone_) {
-    // Its own zone decides, and tells us if it is dead.
+    // The member's own zone resolves the suspicion and announces a death.
     return;
   }
-  // Where the full record is wanting the tables differ, so a sync follows.
+  // If the complete record is missing here, nothing is requested: the table
+  // hashes differ, which triggers a sync.
   if (table_.Merge(aUpdate, aNow) == MergeOutcome::Changed) {
     OnMemberChanged(table_.Find(aUpdate.id_)->member_, aNow);
   }
@@ -172,7 +173,8 @@
       superseded_ = true;
       return;
     }
-    // The clock went back between two runs: stay above the former one.
+    // The wall clock was set back between two runs: exceed the incarnation of
+    // the previous run.
     self_.incarnation_ = Incarnation{ aUpdate.incarnation_.Get() + 1 };
     table_.Merge(self_, aNow);
     OnMemberChanged(self_, aNow);
@@ -203,7 +205,7 @@
   urgent_ = true;
 }
 
-/// Spreads a change of a member and starts the clock of a suspicion.
+/// Enqueues a changed member and starts the timeout of a suspicion.
 void
 Membership::OnMemberChanged(const Member& aMember, TimePoint aNow)
 {
@@ -271,8 +273,8 @@
   MergeItem(contact, aNow);
 }
 
-/// After a pause of this process, its own lateness must not count against
-/// others.
+/// Detects a pause of this process. Open calls are abandoned and suspicions get
+/// a new deadline, so that its own delay does not count against other members.
 void
 Membership::CheckPause(TimePoint aNow)
 {
@@ -336,7 +338,7 @@
       nextExpiry_ = std::min(nextExpiry_, seen + options_.contactTtl_);
     }
   }
-  // A zone may have been lost since, which no message tells.
+  // A zone contact may have expired, which no message announces.
   CountChangeKeepingRoles(changes_, rolesVersion_);
   for (const InstanceId& id : ended) {
     ++counters_.deaths_;
--- a/src/process/membership_probe.cpp
+++ b/src/process/membership_probe.cpp
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// Probes the members of the zone in a random order, each once a round.
+/// Probes the members of the zone in random order, each once per round.
 void
 Membership::ProbeNext(TimePoint aNow, GossipActions& aOut)
 {
@@ -59,7 +59,8 @@
   EndIndirectProbe(aTarget, aNow);
 }
 
-/// One helper could not reach the target; after the last, it is suspect.
+/// Counts one intermediary that could not reach the target. After the last one
+/// the target becomes suspect.
 void
 Membership::EndIndirectProbe(const InstanceId& aTarget, TimePoint aNow)
 {
@@ -77,7 +78,7 @@
   }
 }
 
-/// Keeps the links to other zones: one of their members after the other.
+/// Keeps the links to other zones: probes a random member of the next zone.
 void
 Membership::ProbeZone(TimePoint aNow, GossipActions& aOut)
 {
@@ -94,7 +95,7 @@
   SendTo(CallKind::Remote, members[random_.Below(members.size())], aNow, aOut);
 }
 
-/// Passes an urgent change on without waiting for the next probe.
+/// Pushes an urgent change without waiting for the next probe.
 void
 Membership::PushUrgent(TimePoint aNow, GossipActions& aOut)
 {
--- a/src/process/membership_roles.cpp
+++ b/src/process/membership_roles.cpp
@@ -1,4 +1,5 @@
-/// What follows from the table: peers, links, and who keeps them.
+/// State derived from the member table: peers, links to other zones, and the
+/// bridges that keep these links.
 
 #include "marjoramtally/process/membership.hpp"
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// Times that an update is sent for each power of ten of members.
+/// Times that an update is sent for each power of ten of the zone's size.
 constexpr double kSendsPerDecade = 4.0;
 
 } // namespace
@@ -43,7 +44,7 @@
 {
   RefreshRoles();
   if (aRemote) {
-    // About once to each zone from each of its bridges.
+    // Each bridge sends it about once to each other zone.
     return std::max(static_cast<std::uint32_t>(kSendsPerDecade),
                     static_cast<std::uint32_t>(otherZones_.size()));
   }
@@ -52,8 +53,8 @@
                                     std::ceil(std::log10(zoneSize)));
 }
 
-/// Derives peers, links and the bridges from the table: the first members of
-/// a zone by id that are alive and stay.
+/// Derives peers, links and the bridge role from the table. The bridges of a
+/// zone are its first members by id that are alive and not leaving.
 void
 Membership::RefreshRoles() const
 {
--- a/src/process/membership_send.cpp
+++ b/src/process/membership_send.cpp
@@ -1,4 +1,4 @@
-/// Events of the membership protocol and the messages that answer them.
+/// Event handlers of the membership protocol and the messages that they send.
 
 #include "marjoramtally/process/membership.hpp"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// What an update needs to carry: a living member's whole record, else only
-/// what changed.
+/// @returns the fields that an update has to carry: the complete record if the
+/// member is alive, otherwise only its identity and state
 Member
 Compact(const Member& aMember)
 {
@@ -151,7 +151,7 @@
   message.revision_ = revision_;
   message.tableHash_ = table_.Hash();
   if (aTo != nullptr && aTo->state_ != MemberState::Alive) {
-    // Tell the accused, so that it can refute.
+    // Send the suspicion or death to the member itself, so that it can refute.
     message.updates_.push_back(Compact(*aTo));
   }
   AppendPending(message, aTo == nullptr || aTo->zone_ != self_.zone_, aNow);
--- a/src/process/membership_sync.cpp
+++ b/src/process/membership_sync.cpp
@@ -1,4 +1,4 @@
-/// Syncs: joining, and settling what gossip has missed.
+/// Table syncs: joining, and repairing differences that gossip has missed.
 
 #include "marjoramtally/process/membership.hpp"
 
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// How often a seed that is no member is asked.
+/// Interval at which a seed that is not a living member is contacted.
 constexpr auto kSeedPeriod = std::chrono::seconds(5);
 
 } // namespace
 
-/// Asks for a sync after several peers in a row had another table.
+/// Schedules a sync after several messages in a row with a different hash.
 void
 Membership::CompareTables(const GossipMessage& aMessage, const Member* aSender)
 {
@@ -34,7 +34,7 @@
   }
 }
 
-/// Joins by a seed, or goes on with a sync that is due.
+/// Joins through a seed, or continues a sync that is due.
 void
 Membership::SyncIfDue(TimePoint aNow, GossipActions& aOut)
 {
@@ -66,8 +66,9 @@
                          options_.indirectTimeout_));
 }
 
-/// A seed that is no living member here: it may belong to an island of members
-/// that joined by each other and never heard of us.
+/// @returns a random seed that is not a living member of this table; empty if
+/// there is none. It may belong to a separate group of members that joined
+/// through each other and do not know this one.
 std::string
 Membership::PickUnknownSeed()
 {
@@ -86,7 +87,7 @@
   return unknown.empty() ? "" : unknown[random_.Below(unknown.size())];
 }
 
-/// Members of the zones whose hash differs, from the cursor on.
+/// @returns members of the zones whose hash differs, after the cursor
 GossipMessage
 Membership::ComposePage(const GossipMessage& aRequest, TimePoint aNow)
 {
@@ -107,7 +108,7 @@
     }
     Member update = member;
     if (update.state_ == MemberState::Suspect) {
-      // A page tells what stands, not what is suspected.
+      // A sync does not transfer suspicions.
       update.state_ = MemberState::Alive;
     }
     const std::size_t bytes = WireBytes(update);
--- a/src/process/owner_plan.cpp
+++ b/src/process/owner_plan.cpp
@@ -13,7 +13,7 @@
 OwnerPlan::OnAlive(const std::string& aIncarnation, std::string aAddress)
 {
   Process& process = processes_[InstanceOf(aIncarnation)];
-  // Names of incarnations grow with their start times.
+  // Names of an instance's incarnations sort by start time.
   if (process.incarnation_ <= aIncarnation) {
     process = { aIncarnation, std::move(aAddress) };
   }
@@ -28,8 +28,9 @@
   }
 }
 
-/// The first by a hash of trainer and instance: who joins or leaves changes the
-/// owner of few trainers, and a restart of none.
+/// Chooses the process with the highest hash of trainer and instance. A process
+/// that joins or leaves changes the owner of few trainers, and a restart
+/// changes none.
 std::string
 OwnerPlan::OwnerOf(std::string_view aTrainer) const
 {
--- a/src/process/poll_plan.cpp
+++ b/src/process/poll_plan.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-/// Polls of one upstream vary by this share of the period.
+/// Width of the random variation of a poll interval, as a fraction of it.
 constexpr double kJitter = 0.2;
 
-/// An upstream with its rank among those of its service and nearness.
+/// An upstream with its rank; lower ranks are chosen first.
 using Ranked = std::pair<std::uint64_t, const UpstreamView*>;
 
-/// Stable under changes of the fleet: an upstream's rank depends on its name
-/// and ours only.
+/// Depends only on the upstream's name and this process's, so that the subset
+/// is stable when the fleet changes.
 std::uint64_t
 Rank(const std::string& aSelf, const UpstreamId& aUpstream)
 {
--- a/src/process/relay_plan.cpp
+++ b/src/process/relay_plan.cpp
@@ -29,7 +29,7 @@
                            value.at("address").get<std::string>() };
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
-                  std::string("a sign of life is unreadable: ") +
+                  std::string("cannot parse liveness record: ") +
                     failure.what() };
   }
 }
@@ -76,8 +76,8 @@
   return it->second;
 }
 
-/// Relays are the first by a hash of their names and the prefix, spread over
-/// zones; who joins or leaves changes few of them.
+/// Chooses the first processes by a hash of their names and the prefix, spread
+/// over zones. A process that joins or leaves changes few of the relays.
 std::vector<std::string>
 RelayPlan::Choose(const std::string& aPrefix) const
 {
@@ -111,7 +111,7 @@
   if (std::find(chosen.begin(), chosen.end(), self_) != chosen.end()) {
     return {};
   }
-  // Each process starts with another relay.
+  // The first relay to try differs by process, to spread the load.
   std::rotate(chosen.begin(),
               chosen.begin() +
                 static_cast<std::ptrdiff_t>(hash(self_) % chosen.size()),
