--- a/tests/test_job_takeover.cpp
+++ b/tests/test_job_takeover.cpp
@@ -1,4 +1,4 @@
-/// Which process takes over a job whose owner is gone.
+/// Which process takes over a job whose owner is gone, and after which delay.
 
 #include "marjoramtally/process.hpp"
 
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("a job is taken over by one process, in turn, after a grace")
+TEST_CASE("candidates claim a job one after the other, after a grace period")
 {
   const JobId job{ "j" };
   const std::vector<std::string> names{ "x~1", "y~1", "z~1" };
@@ -39,8 +39,7 @@
   REQUIRE(first == 1);
 }
 
-TEST_CASE(
-  "jobs of few that vanish are taken over at once, of most after a grace")
+TEST_CASE("takeover is immediate if few processes vanish, delayed if most do")
 {
   const bool zone = GENERATE(true, false);
   JobTakeover takeover("a~1");
@@ -59,7 +58,7 @@
   }
   const Duration wait = takeover.NextDue() - (kStart + 1s);
   if (zone) {
-    // Its turn among those that stay.
+    // Only the delay by rank among the remaining processes.
     REQUIRE(wait.count() % TakeoverPolicy{}.rankStep_.count() == 0);
     REQUIRE(wait <= TakeoverPolicy{}.rankStep_ * 2);
   } else {
@@ -67,7 +66,7 @@
   }
 }
 
-TEST_CASE("signs of life that come back stop a takeover")
+TEST_CASE("a liveness record that reappears cancels the takeover")
 {
   JobTakeover takeover("x~1");
   takeover.OnAlive("x~1", kStart);
@@ -78,7 +77,7 @@
   REQUIRE(takeover.Due(kStart + 60s).empty());
 }
 
-TEST_CASE("a restarted instance takes its jobs back at once")
+TEST_CASE("a restarted instance reclaims its jobs at once")
 {
   JobTakeover takeover("x~2");
   takeover.OnAlive("x~1", kStart);
@@ -89,7 +88,7 @@
           InstanceId{ "a~b" });
 }
 
-TEST_CASE("a job that was given back is claimed without a grace")
+TEST_CASE("a job that its owner returned is claimed without a grace period")
 {
   JobTakeover takeover("x~1");
   takeover.OnAlive("x~1", kStart);
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -21,7 +21,8 @@
 
 } // namespace
 
-TEST_CASE("a lease counts from when its heartbeat was sent, less a margin")
+TEST_CASE(
+  "a lease period counts from when its heartbeat was sent, less a margin")
 {
   const LeaseKeeper keeper = Granted();
   CHECK(keeper.Holds(kStart + 3s));
@@ -30,23 +31,24 @@
   CHECK_FALSE(keeper.Holds(kStart + 9s));
 }
 
-TEST_CASE("a process that was paused knows that its lease has lapsed")
+TEST_CASE(
+  "a process that resumes after a pause knows that its lease has expired")
 {
   LeaseKeeper keeper = Granted();
-  const TimePoint woken = kStart + 60s;
-  CHECK_FALSE(keeper.Holds(woken));
+  const TimePoint resumed = kStart + 60s;
+  CHECK_FALSE(keeper.Holds(resumed));
   // The heartbeat sent before the pause is answered after it.
   LeaseKeeper waiting = Granted();
   const TimePoint sent = kStart + 4s;
   REQUIRE(waiting.Next(sent) == LeaseStep::KeepAlive);
-  waiting.OnAnswer(LeaseAnswer::Confirmed, sent, woken);
-  CHECK_FALSE(waiting.Holds(woken));
-  REQUIRE(waiting.Next(woken) == LeaseStep::KeepAlive);
-  waiting.OnAnswer(LeaseAnswer::Gone, woken, woken);
-  CHECK(waiting.Next(woken) == LeaseStep::Grant);
+  waiting.OnAnswer(LeaseAnswer::Confirmed, sent, resumed);
+  CHECK_FALSE(waiting.Holds(resumed));
+  REQUIRE(waiting.Next(resumed) == LeaseStep::KeepAlive);
+  waiting.OnAnswer(LeaseAnswer::Gone, resumed, resumed);
+  CHECK(waiting.Next(resumed) == LeaseStep::Grant);
 }
 
-TEST_CASE("a late answer does not stand for a later call")
+TEST_CASE("a late answer does not confirm a later call")
 {
   LeaseKeeper keeper = Granted();
   const TimePoint first = kStart + 4s;
@@ -62,7 +64,7 @@
   CHECK(keeper.StopAt() == second + 9s);
 }
 
-TEST_CASE("an outage is met with growing waits that differ by instance")
+TEST_CASE("retries in an outage back off, with delays that differ by instance")
 {
   Backoff one(100ms, 5s, 1);
   Backoff two(100ms, 5s, 2);
@@ -87,7 +89,8 @@
   CHECK(asked < 40);
 }
 
-TEST_CASE("reads give way to heartbeats and writes in the store's budget")
+TEST_CASE(
+  "heartbeats and writes take precedence over reads in the store's budget")
 {
   StoreBudget budget(1.0, 2.0);
   CHECK(budget.Take(StoreCallKind::Watch, kStart));
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -28,10 +28,10 @@
     return "zone-" + std::to_string(aNumber / kPerZone);
   }
 
-  const Member& Seen(std::size_t aBy, std::size_t aWhom)
+  const Member& View(std::size_t aObserver, std::size_t aSubject)
   {
-    const InstanceId id = gossip_.At(aWhom).Self().id_;
-    return gossip_.At(aBy).Table().Find(id)->member_;
+    const InstanceId id = gossip_.At(aSubject).Self().id_;
+    return gossip_.At(aObserver).Table().Find(id)->member_;
   }
 
   std::uint64_t Deaths()
@@ -46,7 +46,8 @@
 
 } // namespace
 
-TEST_CASE("gossip survives the wire within its budget, bad bytes do not")
+TEST_CASE(
+  "gossip messages round-trip within the size estimate, bad ones are rejected")
 {
   GossipMessage message;
   message.kind_ = GossipKind::Ack;
@@ -76,7 +77,8 @@
   CHECK_FALSE(DecodeGossipMessage(Encode(message)));
 }
 
-TEST_CASE("updates about a member are ordered, leaving stays for good")
+TEST_CASE(
+  "member updates are ordered; a leaving mark lasts for the incarnation")
 {
   MemberTable table;
   Member member;
@@ -109,27 +111,28 @@
   CHECK(table.Find(member.id_)->member_.state_ == MemberState::Dead);
 }
 
-TEST_CASE("a dead member is found out everywhere, a restart comes back")
+TEST_CASE("all members detect a dead member, and it rejoins after a restart")
 {
   ThreeZones zones;
   zones.gossip_.SetStopped(3, true);
   zones.gossip_.Run(25s);
   for (std::size_t i = 0; i < zones.gossip_.Count(); ++i) {
     if (i != 3) {
-      CHECK(zones.Seen(i, 3).state_ == MemberState::Dead);
+      CHECK(zones.View(i, 3).state_ == MemberState::Dead);
     }
   }
   const Incarnation former = zones.gossip_.At(3).Self().incarnation_;
   zones.gossip_.Restart(3);
   zones.gossip_.Run(25s);
   for (std::size_t i = 0; i < zones.gossip_.Count(); ++i) {
-    CHECK(zones.Seen(i, 3).state_ == MemberState::Alive);
-    CHECK(zones.Seen(i, 3).incarnation_ > former);
+    CHECK(zones.View(i, 3).state_ == MemberState::Alive);
+    CHECK(zones.View(i, 3).incarnation_ > former);
   }
   CHECK(zones.gossip_.At(3).Table().All().size() == zones.gossip_.Count());
 }
 
-TEST_CASE("an asymmetric cut-off kills nobody, helpers reach the member")
+TEST_CASE(
+  "a one-way connection loss declares no member dead: indirect probes work")
 {
   ThreeZones zones;
   zones.gossip_.reaches_ = [](std::size_t aFrom, std::size_t aTo) {
@@ -137,10 +140,10 @@
   };
   zones.gossip_.Run(120s);
   CHECK(zones.Deaths() == 0);
-  CHECK(zones.Seen(1, 2).state_ == MemberState::Alive);
+  CHECK(zones.View(1, 2).state_ == MemberState::Alive);
 }
 
-TEST_CASE("a member that alone is cut off declares nobody dead")
+TEST_CASE("an isolated member declares no other member dead")
 {
   ThreeZones zones;
   zones.gossip_.reaches_ = [](std::size_t aFrom, std::size_t aTo) {
@@ -149,14 +152,14 @@
   zones.gossip_.Run(60s);
   CHECK(zones.gossip_.At(5).Isolated());
   CHECK(zones.gossip_.At(5).Counters().deaths_ == 0);
-  CHECK(zones.Seen(0, 5).state_ == MemberState::Dead);
+  CHECK(zones.View(0, 5).state_ == MemberState::Dead);
   zones.gossip_.reaches_ = nullptr;
   zones.gossip_.Run(60s);
-  CHECK(zones.Seen(0, 5).state_ == MemberState::Alive);
-  CHECK(zones.Seen(23, 5).state_ == MemberState::Alive);
+  CHECK(zones.View(0, 5).state_ == MemberState::Alive);
+  CHECK(zones.View(23, 5).state_ == MemberState::Alive);
 }
 
-TEST_CASE("a paused member does not accuse others when it wakes")
+TEST_CASE("a member that resumes after a pause declares no other member dead")
 {
   ThreeZones zones;
   zones.gossip_.SetStopped(4, true);
@@ -165,11 +168,12 @@
   zones.gossip_.Run(30s);
   CHECK(zones.gossip_.At(4).Counters().pauses_ == 1);
   CHECK(zones.gossip_.At(4).Counters().deaths_ == 0);
-  CHECK(zones.Seen(0, 4).state_ == MemberState::Alive);
-  CHECK(zones.Seen(20, 4).state_ == MemberState::Alive);
+  CHECK(zones.View(0, 4).state_ == MemberState::Alive);
+  CHECK(zones.View(20, 4).state_ == MemberState::Alive);
 }
 
-TEST_CASE("a zone that is cut off goes on by itself and rejoins quietly")
+TEST_CASE(
+  "a zone that is cut off keeps working and rejoins without a message storm")
 {
   ThreeZones zones;
   DirectGossip& gossip = zones.gossip_;
@@ -191,14 +195,15 @@
   gossip.Run(60s);
   for (std::size_t i = 0; i < gossip.Count(); ++i) {
     CHECK(gossip.At(i).HighestRevision() == ConfigRevision{ 11 });
-    CHECK(zones.Seen(i, 20).leaving_);
+    CHECK(zones.View(i, 20).leaving_);
     CHECK(gossip.At(i).Usable(gossip.Now()).size() == 3 * kPerZone - 1);
   }
-  // No storm: a member handles about as many messages as on a quiet day.
+  // A member handles about as many messages as in normal operation.
   CHECK(gossip.Traffic(3).handled_ - handled < 60 * 8);
 }
 
-TEST_CASE("the platform's late list seeds and marks, but revives nobody")
+TEST_CASE(
+  "the platform's stale list adds seeds and leaving marks, revives no member")
 {
   ThreeZones zones;
   DirectGossip& gossip = zones.gossip_;
@@ -208,19 +213,20 @@
   const PlatformInstance stale{ former.id_, former.rpc_, false, {} };
   gossip.At(0).TakePlatformList(std::array{ stale }, gossip.Now());
   gossip.Run(20s);
-  CHECK(zones.Seen(0, 2).state_ == MemberState::Dead);
+  CHECK(zones.View(0, 2).state_ == MemberState::Dead);
   gossip.Restart(2);
   gossip.Run(20s);
-  // The list still says that the former process is leaving.
+  // The list still marks the former process as leaving.
   const PlatformInstance leaving{
     former.id_, former.rpc_, true, former.incarnation_
   };
   gossip.At(0).TakePlatformList(std::array{ leaving }, gossip.Now());
   gossip.Run(20s);
-  CHECK_FALSE(zones.Seen(9, 2).leaving_);
+  CHECK_FALSE(zones.View(9, 2).leaving_);
 }
 
-TEST_CASE("items spread with their age, within bounds, newest first")
+TEST_CASE(
+  "items spread with their age, within limits, and the newest version wins")
 {
   ThreeZones zones;
   DirectGossip& gossip = zones.gossip_;
@@ -252,7 +258,7 @@
   CHECK(few.Size() == 2);
 }
 
-TEST_CASE("two islands that joined apart become one by the store's seeds")
+TEST_CASE("two groups that joined separately merge through the store's seeds")
 {
   DirectGossip gossip(3);
   std::vector<std::string> all;
