--- a/examples/embed_router.cpp
+++ b/examples/embed_router.cpp
@@ -67,7 +67,7 @@
   ok = ok && next.ticket_ == TicketId{ 2 } && picked &&
        picked->id_ == UpstreamId{ "abo-2" };
   admission.Dispatch(next.ticket_, clock.Now());
-  const AttemptDone done{ .sentAt_ = clock.Now() };
+  const AttemptResult done{ .sentAt_ = clock.Now() };
   router.OnSent(UpstreamId{ "abo-2" }, next.spec_, clock.Now());
   clock.Advance(milliseconds(5)); // Here an embedder sends the request.
   router.OnDone(UpstreamId{ "abo-2" }, next.spec_, done, clock.Now());
--- a/include/marjoramtally/fwd.hpp
+++ b/include/marjoramtally/fwd.hpp
@@ -40,7 +40,7 @@
 class RetryBudget;
 class RouteTable;
 class Router;
-class UpstreamBoard;
+class UpstreamTable;
 class WeightPlan;
 struct QueuedRequest;
 struct UpstreamReport;
--- a/include/marjoramtally/process/concurrency_limit.hpp
+++ b/include/marjoramtally/process/concurrency_limit.hpp
@@ -20,7 +20,7 @@
   /// A live answer came after this share of the time it had.
   void OnLiveAnswer(double aShareOfDeadline, TimePoint aNow) noexcept;
   /// Another answer came while the limit was reached.
-  void OnUsed(TimePoint aNow) noexcept;
+  void OnAnswerAtLimit(TimePoint aNow) noexcept;
   [[nodiscard]] std::uint64_t Get() const noexcept
   {
     return static_cast<std::uint64_t>(limit_.load(std::memory_order_relaxed));
@@ -29,9 +29,9 @@
 private:
   void Shrink(TimePoint aNow) noexcept;
 
-  static constexpr double kFirst = 8;
+  static constexpr double kInitialLimit = 8;
 
-  std::atomic<double> limit_{ kFirst };
+  std::atomic<double> limit_{ kInitialLimit };
   std::atomic<Duration::rep> shrunkAt_{ -1 };
 };
 
--- a/include/marjoramtally/process/crash_watch.hpp
+++ b/include/marjoramtally/process/crash_watch.hpp
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "marjoramtally/process/quarantine.hpp"
-#include "marjoramtally/process/upstream_board.hpp"
+#include "marjoramtally/process/upstream_table.hpp"
 
 #include <deque>
 
--- a/include/marjoramtally/process/load_estimate.hpp
+++ b/include/marjoramtally/process/load_estimate.hpp
@@ -36,18 +36,18 @@
   }
 
 private:
-  /// The history reaches back over `kHistory` spans of `kSpan`.
-  static constexpr std::size_t kHistory = 64;
+  /// The history reaches back over `kHistorySpans` spans of `kSpan`.
+  static constexpr std::size_t kHistorySpans = 64;
   static constexpr Duration kSpan{ 65'536 };
 
-  void Remember(std::uint64_t aInFlight, TimePoint aNow) noexcept;
+  void RecordInFlight(std::uint64_t aInFlight, TimePoint aNow) noexcept;
   [[nodiscard]] std::uint64_t InFlightAt(TimePoint aAt) const noexcept;
 
   std::atomic<std::uint64_t> inFlight_{ 0 };
   std::atomic<double> others_{ 0 };
   std::atomic<Duration::rep> reportedAt_{ -1 };
   /// Span number and the requests in flight at its end.
-  std::array<std::atomic<std::uint64_t>, kHistory> history_{};
+  std::array<std::atomic<std::uint64_t>, kHistorySpans> history_{};
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/peak_demand.hpp
+++ b/include/marjoramtally/process/peak_demand.hpp
@@ -15,14 +15,14 @@
 class PeakDemand
 {
 public:
-  /// @param aMemory how long demand counts
-  explicit PeakDemand(Duration aMemory)
-    : memory_(aMemory)
+  /// @param aWindow how long demand counts
+  explicit PeakDemand(Duration aWindow)
+    : window_(aWindow)
   {
   }
 
   /// Places that are wanted now.
-  void OnDemand(std::uint64_t aPlaces, TimePoint aNow);
+  void OnDemand(std::uint64_t aSlots, TimePoint aNow);
   /// @returns 0 if nothing was wanted
   [[nodiscard]] std::uint64_t At(TimePoint aNow) const;
 
@@ -30,12 +30,12 @@
   struct Demand
   {
     TimePoint at_;
-    std::uint64_t places_ = 0;
+    std::uint64_t slots_ = 0;
   };
 
-  Duration memory_;
+  Duration window_;
   /// Falling: what a later demand exceeds can not become the largest.
-  std::deque<Demand> seen_;
+  std::deque<Demand> history_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/prefix_hints.hpp
+++ b/include/marjoramtally/process/prefix_hints.hpp
@@ -50,13 +50,13 @@
   {
     /// Upper half of the prefix's hash and the slot; 0 is free.
     std::atomic<std::uint64_t> key_{ 0 };
-    std::atomic<Duration::rep> at_{ 0 };
+    std::atomic<Duration::rep> addedAt_{ 0 };
   };
   using Bucket = std::array<Way, kWays>;
 
   [[nodiscard]] static std::uint64_t Key(std::uint64_t aPrefix,
                                          UpstreamSlot aSlot) noexcept;
-  [[nodiscard]] static std::size_t Place(std::uint64_t aPrefix) noexcept;
+  [[nodiscard]] static std::size_t BucketOf(std::uint64_t aPrefix) noexcept;
 
   std::vector<Bucket> buckets_;
 };
--- a/include/marjoramtally/process/rcu_cell.hpp
+++ b/include/marjoramtally/process/rcu_cell.hpp
@@ -28,8 +28,8 @@
 class RcuCell
 {
 public:
-  explicit RcuCell(std::unique_ptr<const T> aFirst)
-    : current_(aFirst.release())
+  explicit RcuCell(std::unique_ptr<const T> aInitial)
+    : current_(aInitial.release())
   {
   }
   ~RcuCell() { delete current_.load(); }
@@ -49,14 +49,14 @@
     const std::lock_guard lock(mutex_);
     retired_.emplace_back(
       current_.exchange(aNext.release(), std::memory_order_acq_rel));
-    if (retired_.size() >= kMostRetired) {
+    if (retired_.size() >= kMaxRetired) {
       WaitForRcuReaders();
       retired_.clear();
     }
   }
 
 private:
-  static constexpr std::size_t kMostRetired = 8;
+  static constexpr std::size_t kMaxRetired = 8;
 
   std::atomic<const T*> current_;
   std::mutex mutex_;
--- a/include/marjoramtally/process/route_table.hpp
+++ b/include/marjoramtally/process/route_table.hpp
@@ -110,7 +110,7 @@
   /// @returns whether the configuration is newer and now in force
   bool Apply(RoutingConfig aConfig);
   /// @returns whether any configuration is known
-  [[nodiscard]] bool Known() const noexcept
+  [[nodiscard]] bool HasConfig() const noexcept
   {
     return config_.revision_.Get() != 0;
   }
@@ -118,7 +118,7 @@
   /// one, or none at all, cannot tell that a route was removed
   [[nodiscard]] bool Covers(ConfigRevision aRevision) const noexcept
   {
-    return Known() && config_.revision_ >= aRevision;
+    return HasConfig() && config_.revision_ >= aRevision;
   }
   /// @returns the route with the longest prefix of the path among those of
   /// the host, or nullptr
@@ -127,7 +127,7 @@
                                    std::string_view aPath) const;
   [[nodiscard]] const RoutingConfig& Config() const noexcept { return config_; }
   /// @returns whether requests need keys
-  [[nodiscard]] bool Keyed() const noexcept { return keyed_; }
+  [[nodiscard]] bool RequiresKeys() const noexcept { return requiresKeys_; }
   [[nodiscard]] const CustomerTable& Customers() const noexcept
   {
     return customers_;
@@ -136,15 +136,15 @@
 private:
   /// Without the customers, which the table holds.
   RoutingConfig config_;
-  bool keyed_ = false;
+  bool requiresKeys_ = false;
   CustomerTable customers_;
   /// Indices of the routes by host and prefix, one after the other: a host has
   /// no slash and a prefix begins with one. Finding a route among 4,216 one by
   /// one took 17 us, for each waiting item of a job again.
-  std::map<std::string, std::size_t, std::less<>> byPrefix_;
+  std::map<std::string, std::size_t, std::less<>> byHostAndPrefix_;
   /// Length of the longest of these keys, in bytes: no longer part of a path
   /// is looked up.
-  std::size_t longest_ = 0;
+  std::size_t maxKeyLength_ = 0;
 };
 
 /// @returns the models whose texts must come from one version: those of the
--- a/include/marjoramtally/process/router.hpp
+++ b/include/marjoramtally/process/router.hpp
@@ -16,10 +16,10 @@
 struct RouterTuning
 {
   /// Candidates drawn for a request; the best of them gets it.
-  std::size_t choices_ = 2;
+  std::size_t candidates_ = 2;
   /// Share by which costs are blurred, so that routers with the same reports
   /// do not choose alike.
-  double blur_ = 0.1;
+  double costJitter_ = 0.1;
   /// Whether reports are corrected by own requests and by their age.
   bool correctReports_ = true;
   /// Whether hints of cached prefixes count.
@@ -27,11 +27,11 @@
   /// Whether trainers' requests are bound by the adaptive limit.
   bool adaptiveLimit_ = true;
   /// Time that a request to another zone takes longer.
-  Duration zoneDistance_ = std::chrono::milliseconds(1);
+  Duration crossZoneLatency_ = std::chrono::milliseconds(1);
 };
 
 /// How an attempt at an upstream ended.
-struct AttemptDone
+struct AttemptResult
 {
   AttemptEnd end_ = AttemptEnd::Whole;
   /// Set if its deadline ended it.
@@ -83,14 +83,14 @@
               TimePoint aNow);
   void OnDone(const UpstreamId& aId,
               const RequestSpec& aRequest,
-              const AttemptDone& aDone,
+              const AttemptResult& aResult,
               TimePoint aNow);
   [[nodiscard]] std::vector<UpstreamView> Upstreams() const;
 
 private:
   using RoutedPtr = std::shared_ptr<const RoutedUpstream>;
 
-  [[nodiscard]] RoutedPtr Make(UpstreamView aView, TimePoint aNow);
+  [[nodiscard]] RoutedPtr MakeRouted(UpstreamView aView, TimePoint aNow);
   void Edit(const UpstreamId& aId,
             const std::function<void(RoutedUpstream&)>& aEdit);
   void Publish(TimePoint aNow);
--- a/include/marjoramtally/process/straggler.hpp
+++ b/include/marjoramtally/process/straggler.hpp
@@ -13,15 +13,15 @@
 struct StragglerSettings
 {
   /// Multiple of the usual time a token at which a member is late.
-  double latePace_ = 2;
-  /// Share of the longest recent answers, at usual pace, after which a member
-  /// of unknown progress is late.
-  double lateLength_ = 0.85;
-  /// Tokens that a member must have generated before its pace is judged; the
-  /// time that so many usually take, where it has generated fewer.
-  double leastTokens_ = 12;
+  double lateTokenTimeFactor_ = 2;
+  /// Share of the longest recent answers, at usual tokenTime, after which a
+  /// member of unknown progress is late.
+  double lateLengthFactor_ = 0.85;
+  /// Tokens that a member must have generated before its tokenTime is judged;
+  /// the time that so many usually take, where it has generated fewer.
+  double minTokens_ = 12;
   /// Extra tokens over all tokens generated.
-  double budget_ = 0.04;
+  double extraTokenBudget_ = 0.04;
 };
 
 /// A generation of one group that starts at an upstream.
@@ -69,7 +69,7 @@
   /// @param aTokens tokens generated if it is whole
   void OnEnded(TicketId aTicket, std::optional<double> aTokens, TimePoint aNow);
   /// Records tokens that were thrown away.
-  void OnWasted(double aTokens) noexcept { wasted_ += aTokens; }
+  void OnWasted(double aTokens) noexcept { wastedTokens_ += aTokens; }
   /// @returns tokens that a usual attempt generates in a time
   [[nodiscard]] double TokensIn(Duration aTime) const noexcept;
   /// @param aIdleSlots free slots at other upstreams
@@ -85,29 +85,29 @@
     double tokens_ = 0;
     bool acted_ = false;
   };
-  struct Late
+  struct LateMember
   {
-    double overdue_ = 0;
+    double lateness_ = 0;
     TicketId ticket_;
-    auto operator<=>(const Late&) const = default;
+    auto operator<=>(const LateMember&) const = default;
   };
 
   /// @returns how far a member is beyond its limit; above 1 is late
-  [[nodiscard]] double Overdue(const Member& aMember, TimePoint aNow) const;
+  [[nodiscard]] double Lateness(const Member& aMember, TimePoint aNow) const;
   /// @returns whether the budget has room for a second run
-  [[nodiscard]] bool Afford(double aTokens);
+  [[nodiscard]] bool ReserveTokens(double aTokens);
 
   StragglerSettings settings_;
   std::map<TicketId, Member> members_;
   /// Microseconds a token: the median, and what nearly all keep within.
-  QuantileTracker pace_{ 0.5 };
-  QuantileTracker usualPace_{ 0.9 };
+  QuantileTracker medianTokenTime_{ 0.5 };
+  QuantileTracker p90TokenTime_{ 0.9 };
   /// A slowly sinking bound of recent lengths over expected lengths.
-  double longest_ = 1;
-  double generated_ = 0;
-  double wasted_ = 0;
+  double maxLengthRatio_ = 1;
+  double generatedTokens_ = 0;
+  double wastedTokens_ = 0;
   /// Tokens of second runs that may still be thrown away.
-  double pledged_ = 0;
+  double reservedTokens_ = 0;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/work_pace.hpp
+++ b/include/marjoramtally/process/time_share_limiter.hpp
@@ -7,11 +7,11 @@
 
 /// Tells when work that holds up its loop may be done again: the longer it took
 /// last time, the later. What becomes due meanwhile is done together.
-class WorkPace
+class TimeShareLimiter
 {
 public:
   /// @param aShare most of the time that the work may take, over 0, at most 1
-  explicit constexpr WorkPace(double aShare) noexcept
+  explicit constexpr TimeShareLimiter(double aShare) noexcept
     : share_(aShare)
   {
   }
--- a/include/marjoramtally/process/upstream_health.hpp
+++ b/include/marjoramtally/process/upstream_health.hpp
@@ -9,7 +9,7 @@
 namespace marjoramtally {
 
 /// The usual speed of a pool's upstreams: a running median. Thread-safe.
-class TypicalSpeed
+class TypicalUnitTime
 {
 public:
   void Add(double aMicrosPerUnit) noexcept;
@@ -42,12 +42,12 @@
   }
 
   /// A whole answer came.
-  [[nodiscard]] HealthChange OnWhole(double aMicrosPerUnit,
-                                     TypicalSpeed& aTypical,
-                                     TimePoint aNow) noexcept;
+  [[nodiscard]] HealthChange OnComplete(double aMicrosPerUnit,
+                                        TypicalUnitTime& aTypical,
+                                        TimePoint aNow) noexcept;
   /// An attempt was given up after this long: it would have taken longer.
   [[nodiscard]] HealthChange OnTimeout(double aMicrosPerUnit,
-                                       const TypicalSpeed& aTypical,
+                                       const TypicalUnitTime& aTypical,
                                        TimePoint aNow) noexcept;
   /// No whole answer, by the upstream's fault.
   [[nodiscard]] HealthChange OnFailure(TimePoint aNow) noexcept;
@@ -63,28 +63,28 @@
   [[nodiscard]] std::uint64_t SlowStartLimit(TimePoint aNow) const noexcept;
   /// @returns expected time of a unit of work; longer while answers that
   /// should have come do not
-  [[nodiscard]] double MicrosPerUnit(const TypicalSpeed& aTypical,
+  [[nodiscard]] double MicrosPerUnit(const TypicalUnitTime& aTypical,
                                      bool aBusy,
                                      TimePoint aNow) const noexcept;
 
 private:
-  [[nodiscard]] HealthChange JudgeSpeed(const TypicalSpeed& aTypical,
-                                        TimePoint aNow) noexcept;
+  [[nodiscard]] HealthChange EjectIfOutlier(const TypicalUnitTime& aTypical,
+                                            TimePoint aNow) noexcept;
   [[nodiscard]] HealthChange Eject(TimePoint aNow) noexcept;
-  [[nodiscard]] double Stall(bool aBusy, TimePoint aNow) const noexcept;
-  void Blend(double aMicrosPerUnit,
-             const TypicalSpeed& aTypical,
-             TimePoint aNow) noexcept;
+  [[nodiscard]] double StallFactor(bool aBusy, TimePoint aNow) const noexcept;
+  void AddSample(double aMicrosPerUnit,
+                 const TypicalUnitTime& aTypical,
+                 TimePoint aNow) noexcept;
   /// @returns what is known of its speed; the usual one after long silence
-  [[nodiscard]] double Known(const TypicalSpeed& aTypical,
-                             TimePoint aNow) const noexcept;
+  [[nodiscard]] double KnownUnitTime(const TypicalUnitTime& aTypical,
+                                     TimePoint aNow) const noexcept;
 
-  std::atomic<double> speed_{ 0 };
+  std::atomic<double> unitTime_{ 0 };
   /// Speeds taken in since it was admitted.
-  std::atomic<std::uint32_t> speeds_{ 0 };
-  std::atomic<Duration::rep> lastSpeedAt_{ 0 };
-  std::atomic<double> gapMicros_{ 0 };
-  std::atomic<Duration::rep> lastWholeAt_{ -1 };
+  std::atomic<std::uint32_t> samples_{ 0 };
+  std::atomic<Duration::rep> lastSampleAt_{ 0 };
+  std::atomic<double> answerGapMicros_{ 0 };
+  std::atomic<Duration::rep> lastCompleteAt_{ -1 };
   std::atomic<std::uint32_t> failures_{ 0 };
   std::atomic<std::uint32_t> ejections_{ 0 };
   std::atomic<Duration::rep> ejectedUntil_{ 0 };
--- a/include/marjoramtally/process/upstream_board.hpp
+++ b/include/marjoramtally/process/upstream_table.hpp
@@ -68,38 +68,39 @@
 /// A call of which nothing was heard for so long when a restart of its upstream
 /// becomes known had gone to the incarnation before. A restart is registered
 /// within a second; calls that are heard of go on.
-inline constexpr auto kRestartSilence = std::chrono::milliseconds(500);
+inline constexpr auto kRestartIdleTime = std::chrono::milliseconds(500);
 
 /// Times that govern the choice.
-struct BoardPolicy
+struct SelectionPolicy
 {
   /// An entry that vanished may come back this long: registrations that lapse
   /// while the store is away return within two seconds, and an upstream that
   /// left must get nothing two seconds later.
-  Duration vanishGrace_ = std::chrono::milliseconds(1500);
+  Duration removalGrace_ = std::chrono::milliseconds(1500);
   /// An upstream that failed a call is avoided this long, doubled with each
   /// further failure.
-  Duration avoidFirst_ = std::chrono::milliseconds(300);
-  Duration avoidLongest_ = std::chrono::seconds(3);
+  Duration initialBackoff_ = std::chrono::milliseconds(300);
+  Duration maxBackoff_ = std::chrono::seconds(3);
   /// An upstream that said it is full is avoided this long.
-  Duration fullPause_ = std::chrono::milliseconds(100);
+  Duration fullBackoff_ = std::chrono::milliseconds(100);
   /// A change of weights takes 0.9 s.
-  Duration loadPause_ = std::chrono::milliseconds(600);
+  Duration loadingBackoff_ = std::chrono::milliseconds(600);
   /// Weight of the newest observation in the smoothed pace.
   double paceWeight_ = 0.2;
   /// Longer gaps are no pace: a change of weights holds a stream up for 0.9 s.
-  Duration longestGap_ = std::chrono::milliseconds(500);
+  Duration maxEventGap_ = std::chrono::milliseconds(500);
   /// A pace this many times the median of its service is slow.
   double slowFactor_ = 1.8;
   /// An upstream with calls in progress that lets nothing be heard for this
-  /// long, and for so many times its pace, is quiet: cut off, frozen, loading
-  /// or full. Streams make an event each 35 ms, plain calls take 25 to 200 ms.
-  Duration quietTime_ = std::chrono::milliseconds(300);
-  std::int64_t quietPaces_ = 6;
+  /// long, and for so many times its pace, is unresponsive: cut off, frozen,
+  /// loading or full. Streams make an event each 35 ms, plain calls take 25 to
+  /// 200 ms.
+  Duration idleTimeout_ = std::chrono::milliseconds(300);
+  std::int64_t idleTimeoutPaces_ = 6;
 };
 
 /// One upstream and what this process knows of it.
-struct BoardUpstream
+struct TrackedUpstream
 {
   UpstreamEntry entry_;
   /// Calls of this process in progress.
@@ -108,14 +109,14 @@
   std::uint32_t failures_ = 0;
   TimePoint avoidUntil_;
   /// When the entry vanished; `kNever` while it is registered.
-  TimePoint vanished_ = kNever;
+  TimePoint removedAt_ = kNever;
   /// When it last let anything be heard, or its first call in progress began.
-  TimePoint heard_;
+  TimePoint lastReceivedAt_;
   /// Smoothed time between two events of a stream; 0 is unknown.
   Duration pace_{ 0 };
   std::map<std::string, WeightVersion> versions_;
   /// Place in this process's own order of upstreams.
-  std::size_t order_ = 0;
+  std::size_t tieBreak_ = 0;
 };
 
 /// What is asked of an upstream for an item.
@@ -131,7 +132,7 @@
 };
 
 /// All upstreams of the fleet.
-class UpstreamBoard
+class UpstreamTable
 {
 public:
   /// @param aSelf names this process; empty: the order is that of ids. Among
@@ -140,21 +141,21 @@
   /// times the mean of its service's calls, and the first models' upstreams 24
   /// items for 6 places. Keeping to few upstreams also keeps connections in
   /// use.
-  explicit UpstreamBoard(ZoneId aZone,
-                         BoardPolicy aPolicy = {},
+  explicit UpstreamTable(ZoneId aZone,
+                         SelectionPolicy aPolicy = {},
                          std::string aSelf = {});
   // Its order of upstreams refers to its own objects.
-  UpstreamBoard(const UpstreamBoard&) = delete;
-  UpstreamBoard& operator=(const UpstreamBoard&) = delete;
-  UpstreamBoard(UpstreamBoard&&) = default;
-  UpstreamBoard& operator=(UpstreamBoard&&) = default;
-  ~UpstreamBoard() = default;
+  UpstreamTable(const UpstreamTable&) = delete;
+  UpstreamTable& operator=(const UpstreamTable&) = delete;
+  UpstreamTable(UpstreamTable&&) = default;
+  UpstreamTable& operator=(UpstreamTable&&) = default;
+  ~UpstreamTable() = default;
 
   /// An upstream registered or changed. A restart clears all that is known of
   /// it but the calls in progress, which their drivers settle.
   EntryEffect OnEntry(UpstreamEntry aEntry);
   /// An upstream's registration is gone.
-  void OnVanished(const UpstreamId& aId, TimePoint aNow);
+  void OnRemoved(const UpstreamId& aId, TimePoint aNow);
   /// The whole list was read: what is not in it has vanished.
   /// @returns upstreams that have started again
   std::vector<UpstreamId> OnList(std::vector<UpstreamEntry> aEntries,
@@ -165,7 +166,7 @@
   /// The upstream answered for another incarnation: this one is gone.
   void OnReplaced(const UpstreamId& aId, TimePoint aNow);
   /// Part of an answer came.
-  void OnHeard(const UpstreamId& aId, TimePoint aNow);
+  void OnReceived(const UpstreamId& aId, TimePoint aNow);
   /// An event of a stream came so long after the one before.
   void OnPace(const UpstreamId& aId, Duration aGap);
   /// The upstream showed its version of a model.
@@ -176,30 +177,33 @@
   /// Chooses for a request: fewest in flight a slot, own zone first, then this
   /// process's own order.
   /// @param aTried upstreams not to be chosen again
-  [[nodiscard]] const BoardUpstream* Pick(const ServiceId& aService,
-                                          const std::set<UpstreamId>& aTried,
-                                          TimePoint aNow) const;
+  [[nodiscard]] const TrackedUpstream* Pick(const ServiceId& aService,
+                                            const std::set<UpstreamId>& aTried,
+                                            TimePoint aNow) const;
   /// Chooses for an item: a free slot at an upstream with the version.
   /// @returns nullptr while none is free
-  [[nodiscard]] const BoardUpstream* PickForItem(const ItemNeeds& aNeeds,
-                                                 TimePoint aNow) const;
+  [[nodiscard]] const TrackedUpstream* PickForItem(const ItemNeeds& aNeeds,
+                                                   TimePoint aNow) const;
   /// @returns whether an upstream is much slower than its peers
   [[nodiscard]] bool Slow(const UpstreamId& aId) const;
   /// @returns whether calls of this process are in progress at an upstream
   /// and nothing of any of them was heard for a while
-  [[nodiscard]] bool Quiet(const BoardUpstream& aUpstream,
-                           TimePoint aNow) const noexcept;
-  [[nodiscard]] const BoardUpstream* Find(const UpstreamId& aId) const;
+  [[nodiscard]] bool Unresponsive(const TrackedUpstream& aUpstream,
+                                  TimePoint aNow) const noexcept;
+  [[nodiscard]] const TrackedUpstream* Find(const UpstreamId& aId) const;
   /// @returns how many upstreams all choices so far have looked at
-  [[nodiscard]] std::uint64_t Looks() const noexcept { return looks_; }
+  [[nodiscard]] std::uint64_t InspectedCount() const noexcept
+  {
+    return inspected_;
+  }
   /// @returns whether the upstream may get new work
-  [[nodiscard]] bool Usable(const BoardUpstream& aUpstream,
+  [[nodiscard]] bool Usable(const TrackedUpstream& aUpstream,
                             TimePoint aNow) const noexcept;
 
 private:
   /// Calls in flight a slot, this process's own order, id.
   using Rank = std::tuple<double, std::size_t, UpstreamId>;
-  using Ranking = std::map<Rank, const BoardUpstream*>;
+  using Ranking = std::map<Rank, const TrackedUpstream*>;
 
   /// The upstreams of one service in the order in which they are chosen, so
   /// that a choice looks at the first ones and not at the whole fleet.
@@ -211,31 +215,31 @@
     PaceMedian paces_;
   };
 
-  [[nodiscard]] static Rank RankOf(const BoardUpstream& aUpstream);
+  [[nodiscard]] static Rank RankOf(const TrackedUpstream& aUpstream);
   /// Takes an upstream out of its service, which a change of its rank or its
   /// pace needs before, and back in after.
-  void Unlist(const BoardUpstream& aUpstream);
-  void List(const BoardUpstream& aUpstream);
+  void RemoveFromRankings(const TrackedUpstream& aUpstream);
+  void AddToRankings(const TrackedUpstream& aUpstream);
   [[nodiscard]] const Service* FindService(const ServiceId& aService) const;
   /// @returns the rankings of which an upstream for an item is chosen
   [[nodiscard]] std::vector<const Ranking*> RankingsFor(
     const ItemNeeds& aNeeds) const;
-  [[nodiscard]] bool Fits(const BoardUpstream& aUpstream,
+  [[nodiscard]] bool Fits(const TrackedUpstream& aUpstream,
                           const ItemNeeds& aNeeds,
                           TimePoint aNow) const;
-  [[nodiscard]] bool SlowerThan(const BoardUpstream& aUpstream,
+  [[nodiscard]] bool SlowerThan(const TrackedUpstream& aUpstream,
                                 Duration aMedian) const noexcept;
 
   ZoneId zone_;
-  BoardPolicy policy_;
+  SelectionPolicy policy_;
   std::string self_;
-  std::map<UpstreamId, BoardUpstream> upstreams_;
+  std::map<UpstreamId, TrackedUpstream> upstreams_;
   std::map<ServiceId, Service> services_;
-  mutable std::uint64_t looks_ = 0;
+  mutable std::uint64_t inspected_ = 0;
   /// The newest start seen of each id that says when it started; outlives the
   /// entry, so that an old one which comes late brings nothing back. Such ids
   /// are those of the fleet's places and so stay few.
-  std::map<UpstreamId, UpstreamStart> starts_;
+  std::map<UpstreamId, UpstreamStart> latestStarts_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/runtime/platform.hpp
+++ b/include/marjoramtally/runtime/platform.hpp
@@ -5,7 +5,7 @@
 
 #include "marjoramtally/base/result.hpp"
 #include "marjoramtally/process/route_table.hpp"
-#include "marjoramtally/process/upstream_board.hpp"
+#include "marjoramtally/process/upstream_table.hpp"
 #include "marjoramtally/runtime/http_client.hpp"
 #include "marjoramtally/version/job.hpp"
 
--- a/src/process/completion_cost.cpp
+++ b/src/process/completion_cost.cpp
@@ -39,13 +39,13 @@
 CompletionCost(const RoutedUpstream& aUpstream,
                const RequestSpec& aRequest,
                double aCachedTrust,
-               bool aFar,
+               bool aRemote,
                const RouterTuning& aTuning,
                TimePoint aNow) noexcept
 {
   const double load = ExpectedLoad(aUpstream, aTuning, aNow);
-  const double speed = aUpstream.state_->health_.MicrosPerUnit(
-    aUpstream.service_->typicalSpeed_,
+  const double unitTime = aUpstream.state_->health_.MicrosPerUnit(
+    aUpstream.service_->typicalUnitTime_,
     aUpstream.state_->load_.InFlight() > 0,
     aNow);
   const double prefill = static_cast<double>(aRequest.promptTokens_) *
@@ -54,8 +54,8 @@
     WorkUnits(static_cast<double>(aRequest.outputTokens_), load) +
     prefill * (1 + load);
   const auto distance =
-    aFar ? static_cast<double>(aTuning.zoneDistance_.count()) : 0.0;
-  return speed * units + distance;
+    aRemote ? static_cast<double>(aTuning.crossZoneLatency_.count()) : 0.0;
+  return unitTime * units + distance;
 }
 
 } // namespace marjoramtally
--- a/src/process/completion_cost.hpp
+++ b/src/process/completion_cost.hpp
@@ -23,7 +23,7 @@
 CompletionCost(const RoutedUpstream& aUpstream,
                const RequestSpec& aRequest,
                double aCachedTrust,
-               bool aFar,
+               bool aRemote,
                const RouterTuning& aTuning,
                TimePoint aNow) noexcept;
 
--- a/src/process/load_estimate.cpp
+++ b/src/process/load_estimate.cpp
@@ -16,7 +16,7 @@
 void
 LoadEstimate::OnSent(TimePoint aNow) noexcept
 {
-  Remember(inFlight_.fetch_add(1, std::memory_order_relaxed) + 1, aNow);
+  RecordInFlight(inFlight_.fetch_add(1, std::memory_order_relaxed) + 1, aNow);
 }
 
 void
@@ -26,15 +26,15 @@
   while (now > 0 && !inFlight_.compare_exchange_weak(
                       now, now - 1, std::memory_order_relaxed)) {
   }
-  Remember(now > 0 ? now - 1 : 0, aNow);
+  RecordInFlight(now > 0 ? now - 1 : 0, aNow);
 }
 
 void
-LoadEstimate::Remember(std::uint64_t aInFlight, TimePoint aNow) noexcept
+LoadEstimate::RecordInFlight(std::uint64_t aInFlight, TimePoint aNow) noexcept
 {
   const auto span =
     static_cast<std::uint64_t>(aNow.sinceStart_.count() / kSpan.count());
-  history_[span % kHistory].store(
+  history_[span % kHistorySpans].store(
     (span << kCountBits) | (aInFlight & kCountMask), std::memory_order_relaxed);
 }
 
@@ -43,9 +43,9 @@
 {
   const auto at =
     static_cast<std::uint64_t>(aAt.sinceStart_.count() / kSpan.count());
-  for (std::uint64_t back = 0; back < std::min(at + 1, kHistory); ++back) {
+  for (std::uint64_t back = 0; back < std::min(at + 1, kHistorySpans); ++back) {
     const std::uint64_t entry =
-      history_[(at - back) % kHistory].load(std::memory_order_relaxed);
+      history_[(at - back) % kHistorySpans].load(std::memory_order_relaxed);
     if (entry != 0 && entry >> kCountBits == at - back) {
       return entry & kCountMask;
     }
--- a/src/process/output_estimate.cpp
+++ b/src/process/output_estimate.cpp
@@ -24,10 +24,10 @@
 
 template<typename Key>
 void
-Move(std::unordered_map<Key, double>& aMeans,
-     const Key& aKey,
-     double aValue,
-     double aGain)
+UpdateMean(std::unordered_map<Key, double>& aMeans,
+           const Key& aKey,
+           double aValue,
+           double aGain)
 {
   const auto [it, fresh] = aMeans.emplace(aKey, aValue);
   if (!fresh) {
@@ -68,12 +68,12 @@
 OutputEstimate::Learn(const RequestSpec& aRequest, std::uint64_t aTokens)
 {
   const auto tokens = static_cast<double>(aTokens);
-  Move(byFlow_, FlowOf(aRequest), tokens, kFlowGain);
+  UpdateMean(byFlow_, FlowOf(aRequest), tokens, kFlowGain);
   if (aRequest.prefixHash_ != 0) {
     if (byPrompt_.size() >= kMaxPrompts) {
       byPrompt_.clear();
     }
-    Move(byPrompt_, aRequest.prefixHash_, tokens, kPromptGain);
+    UpdateMean(byPrompt_, aRequest.prefixHash_, tokens, kPromptGain);
   }
   return CostOf(aRequest, tokens);
 }
--- a/src/process/peak_demand.cpp
+++ b/src/process/peak_demand.cpp
@@ -3,23 +3,23 @@
 namespace marjoramtally {
 
 void
-PeakDemand::OnDemand(std::uint64_t aPlaces, TimePoint aNow)
+PeakDemand::OnDemand(std::uint64_t aSlots, TimePoint aNow)
 {
-  while (!seen_.empty() && seen_.front().at_ + memory_ < aNow) {
-    seen_.pop_front();
+  while (!history_.empty() && history_.front().at_ + window_ < aNow) {
+    history_.pop_front();
   }
-  while (!seen_.empty() && seen_.back().places_ <= aPlaces) {
-    seen_.pop_back();
+  while (!history_.empty() && history_.back().slots_ <= aSlots) {
+    history_.pop_back();
   }
-  seen_.push_back({ aNow, aPlaces });
+  history_.push_back({ aNow, aSlots });
 }
 
 std::uint64_t
 PeakDemand::At(TimePoint aNow) const
 {
-  for (const Demand& demand : seen_) {
-    if (demand.at_ + memory_ >= aNow) {
-      return demand.places_;
+  for (const Demand& demand : history_) {
+    if (demand.at_ + window_ >= aNow) {
+      return demand.slots_;
     }
   }
   return 0;
--- a/src/process/prefix_hints.cpp
+++ b/src/process/prefix_hints.cpp
@@ -8,7 +8,7 @@
 
 /// A hint of this age is trusted half.
 constexpr double kHalfAgeMicros = 20e6;
-constexpr unsigned kHalf = 32;
+constexpr unsigned kHalfBits = 32;
 constexpr std::uint64_t kLowHalf = 0xffffffffULL;
 constexpr auto kRelaxed = std::memory_order_relaxed;
 
@@ -17,7 +17,7 @@
 Mix(std::uint64_t aPrefix) noexcept
 {
   std::uint64_t mixed = aPrefix * 0x9e3779b97f4a7c15ULL;
-  return mixed ^ (mixed >> kHalf);
+  return mixed ^ (mixed >> kHalfBits);
 }
 
 } // namespace
@@ -25,13 +25,13 @@
 std::uint64_t
 PrefixHints::Key(std::uint64_t aPrefix, UpstreamSlot aSlot) noexcept
 {
-  return (Mix(aPrefix) << kHalf) | (aSlot + 1ULL);
+  return (Mix(aPrefix) << kHalfBits) | (aSlot + 1ULL);
 }
 
 std::size_t
-PrefixHints::Place(std::uint64_t aPrefix) noexcept
+PrefixHints::BucketOf(std::uint64_t aPrefix) noexcept
 {
-  return (Mix(aPrefix) >> kHalf) % kBuckets;
+  return (Mix(aPrefix) >> kHalfBits) % kBuckets;
 }
 
 void
@@ -39,7 +39,7 @@
                  UpstreamSlot aSlot,
                  TimePoint aNow) noexcept
 {
-  Bucket& bucket = buckets_[Place(aPrefix)];
+  Bucket& bucket = buckets_[BucketOf(aPrefix)];
   const std::uint64_t key = Key(aPrefix, aSlot);
   Way* target = &bucket.front();
   for (Way& way : bucket) {
@@ -47,22 +47,22 @@
       target = &way;
       break;
     }
-    if (way.at_.load(kRelaxed) < target->at_.load(kRelaxed)) {
+    if (way.addedAt_.load(kRelaxed) < target->addedAt_.load(kRelaxed)) {
       target = &way;
     }
   }
   target->key_.store(key, kRelaxed);
-  target->at_.store(aNow.sinceStart_.count() + 1, kRelaxed);
+  target->addedAt_.store(aNow.sinceStart_.count() + 1, kRelaxed);
 }
 
 void
 PrefixHints::Remove(std::uint64_t aPrefix, UpstreamSlot aSlot) noexcept
 {
   const std::uint64_t key = Key(aPrefix, aSlot);
-  for (Way& way : buckets_[Place(aPrefix)]) {
+  for (Way& way : buckets_[BucketOf(aPrefix)]) {
     if (way.key_.load(kRelaxed) == key) {
       way.key_.store(0, kRelaxed);
-      way.at_.store(0, kRelaxed);
+      way.addedAt_.store(0, kRelaxed);
     }
   }
 }
@@ -72,14 +72,14 @@
 {
   Hints hints{};
   std::size_t count = 0;
-  const std::uint64_t wanted = Key(aPrefix, 0) >> kHalf;
-  for (const Way& way : buckets_[Place(aPrefix)]) {
+  const std::uint64_t wanted = Key(aPrefix, 0) >> kHalfBits;
+  for (const Way& way : buckets_[BucketOf(aPrefix)]) {
     const std::uint64_t key = way.key_.load(kRelaxed);
-    if (key == 0 || key >> kHalf != wanted) {
+    if (key == 0 || key >> kHalfBits != wanted) {
       continue;
     }
     const auto age = static_cast<double>(std::max<Duration::rep>(
-      aNow.sinceStart_.count() - way.at_.load(kRelaxed), 0));
+      aNow.sinceStart_.count() - way.addedAt_.load(kRelaxed), 0));
     hints[count++] = { static_cast<UpstreamSlot>((key & kLowHalf) - 1),
                        kHalfAgeMicros / (kHalfAgeMicros + age) };
   }
--- a/src/process/route_table.cpp
+++ b/src/process/route_table.cpp
@@ -11,17 +11,17 @@
     return false;
   }
   config_ = std::move(aConfig);
-  keyed_ = config_.customers_.has_value();
+  requiresKeys_ = config_.customers_.has_value();
   customers_ = CustomerTable(
     std::move(config_.customers_).value_or(std::vector<Customer>{}));
   config_.customers_.reset();
-  byPrefix_.clear();
-  longest_ = 0;
+  byHostAndPrefix_.clear();
+  maxKeyLength_ = 0;
   for (std::size_t i = 0; i < config_.routes_.size(); ++i) {
     const Route& route = config_.routes_[i];
     const auto [entry, added] =
-      byPrefix_.emplace(route.host_ + route.prefix_, i);
-    longest_ = std::max(longest_, entry->first.size());
+      byHostAndPrefix_.emplace(route.host_ + route.prefix_, i);
+    maxKeyLength_ = std::max(maxKeyLength_, entry->first.size());
   }
   return true;
 }
@@ -31,13 +31,13 @@
 {
   std::string key(aHost.substr(0, aHost.find(':')));
   const std::size_t hostBytes = key.size();
-  key += aPath.substr(0, longest_);
-  std::string_view prefix = std::string_view(key).substr(0, longest_);
+  key += aPath.substr(0, maxKeyLength_);
+  std::string_view prefix = std::string_view(key).substr(0, maxKeyLength_);
   for (std::size_t slash = prefix.rfind('/');
        slash != std::string_view::npos && slash >= hostBytes;
        slash = prefix.rfind('/')) {
-    const auto found = byPrefix_.find(prefix.substr(0, slash + 1));
-    if (found != byPrefix_.end()) {
+    const auto found = byHostAndPrefix_.find(prefix.substr(0, slash + 1));
+    if (found != byHostAndPrefix_.end()) {
       return &config_.routes_[found->second];
     }
     prefix = prefix.substr(0, slash);
--- a/src/process/router.cpp
+++ b/src/process/router.cpp
@@ -11,15 +11,15 @@
 /// Weight of the newest report in the mean over a service's upstreams.
 constexpr double kMeanWeight = 0.05;
 /// A queue that is longer than this part of the batch calls for less load.
-constexpr std::uint64_t kQueuedShare = 8;
+constexpr std::uint64_t kBatchToQueueRatio = 8;
 /// Versions change on many upstreams at once: their reports share a change
 /// of the routing state.
 constexpr Duration kPublishPeriod = std::chrono::milliseconds(100);
 /// An upstream of the first list is taken as warm.
-constexpr Duration kWarm = std::chrono::minutes(10);
+constexpr Duration kWarmUpstreamAge = std::chrono::minutes(10);
 
 void
-BlendMean(std::atomic<double>& aMean, double aValue) noexcept
+UpdateMean(std::atomic<double>& aMean, double aValue) noexcept
 {
   const double mean = aMean.load(std::memory_order_relaxed);
   aMean.store(mean + kMeanWeight * (aValue - mean), std::memory_order_relaxed);
@@ -29,14 +29,14 @@
 double
 MicrosPerUnit(const RoutedUpstream& aUpstream,
               const RequestSpec& aRequest,
-              const AttemptDone& aDone,
+              const AttemptResult& aResult,
               const RouterTuning& aTuning,
               TimePoint aNow) noexcept
 {
   const auto tokens = static_cast<double>(
-    aDone.tokens_ > 0 ? aDone.tokens_ : aRequest.outputTokens_);
+    aResult.tokens_ > 0 ? aResult.tokens_ : aRequest.outputTokens_);
   const double load = ExpectedLoad(aUpstream, aTuning, aNow) + 1;
-  const auto took = static_cast<double>((aNow - aDone.sentAt_).count());
+  const auto took = static_cast<double>((aNow - aResult.sentAt_).count());
   return std::max(took, 1.0) / WorkUnits(tokens, load);
 }
 
@@ -44,19 +44,19 @@
 void
 AdjustLimit(ConcurrencyLimit& aLimit,
             const RequestSpec& aRequest,
-            const AttemptDone& aDone,
+            const AttemptResult& aResult,
             std::uint64_t aInFlight,
             TimePoint aNow) noexcept
 {
   if (aRequest.class_ == RequestClass::Live) {
-    if (aRequest.deadline_ != kNever && aRequest.deadline_ > aDone.sentAt_) {
+    if (aRequest.deadline_ != kNever && aRequest.deadline_ > aResult.sentAt_) {
       const auto had =
         static_cast<double>((aRequest.deadline_ - aRequest.arrived_).count());
-      const auto took = static_cast<double>((aNow - aDone.sentAt_).count());
+      const auto took = static_cast<double>((aNow - aResult.sentAt_).count());
       aLimit.OnLiveAnswer(took / std::max(had, 1.0), aNow);
     }
   } else if (aInFlight + 1 >= aLimit.Get()) {
-    aLimit.OnUsed(aNow);
+    aLimit.OnAnswerAtLimit(aNow);
   }
 }
 
@@ -73,7 +73,7 @@
 Router::~Router() = default;
 
 Router::RoutedPtr
-Router::Make(UpstreamView aView, TimePoint aNow)
+Router::MakeRouted(UpstreamView aView, TimePoint aNow)
 {
   const auto known = upstreams_.find(aView.id_);
   auto made = std::make_shared<RoutedUpstream>();
@@ -83,7 +83,8 @@
     *made = *known->second;
     aView.incarnation_ = std::max(aView.incarnation_, made->view_.incarnation_);
   } else {
-    const TimePoint seenAt = upstreams_.empty() ? aNow - kWarm : aNow;
+    const TimePoint seenAt =
+      upstreams_.empty() ? aNow - kWarmUpstreamAge : aNow;
     made->state_ = std::make_shared<UpstreamState>(seenAt);
     made->slot_ = nextSlot_++;
   }
@@ -102,7 +103,7 @@
   }
   std::map<UpstreamId, RoutedPtr> next;
   for (const UpstreamView& view : aUpstreams) {
-    auto made = std::const_pointer_cast<RoutedUpstream>(Make(view, aNow));
+    auto made = std::const_pointer_cast<RoutedUpstream>(MakeRouted(view, aNow));
     if (made->view_.leaving_) {
       leaving_.Mark(made->view_);
     }
@@ -151,8 +152,8 @@
   const RoutedUpstream& upstream = *found->second;
   UpstreamState& state = *upstream.state_;
   state.load_.OnReport(aReport.running_ + aReport.queued_, aReport.at_);
-  BlendMean(upstream.service_->meanOthers_, state.load_.Others());
-  if (aReport.queued_ * kQueuedShare > aReport.running_) {
+  UpdateMean(upstream.service_->meanOthers_, state.load_.Others());
+  if (aReport.queued_ * kBatchToQueueRatio > aReport.running_) {
     state.limit_.OnQueued(aNow);
   }
   const bool restarted = aReport.incarnation_ > upstream.view_.incarnation_;
@@ -231,7 +232,7 @@
 void
 Router::OnDone(const UpstreamId& aId,
                const RequestSpec& aRequest,
-               const AttemptDone& aDone,
+               const AttemptResult& aResult,
                TimePoint aNow)
 {
   const RcuReadGuard guard;
@@ -241,19 +242,20 @@
   }
   UpstreamState& state = *upstream->state_;
   state.load_.OnDone(aNow);
-  if (aDone.cancelled_) {
+  if (aResult.cancelled_) {
     return;
   }
-  const double speed = MicrosPerUnit(*upstream, aRequest, aDone, tuning_, aNow);
-  TypicalSpeed& typical = upstream->service_->typicalSpeed_;
-  if (aDone.timedOut_) {
-    static_cast<void>(state.health_.OnTimeout(speed, typical, aNow));
-  } else if (aDone.end_ == AttemptEnd::Whole) {
-    static_cast<void>(state.health_.OnWhole(speed, typical, aNow));
+  const double unitTime =
+    MicrosPerUnit(*upstream, aRequest, aResult, tuning_, aNow);
+  TypicalUnitTime& typical = upstream->service_->typicalUnitTime_;
+  if (aResult.timedOut_) {
+    static_cast<void>(state.health_.OnTimeout(unitTime, typical, aNow));
+  } else if (aResult.end_ == AttemptEnd::Whole) {
+    static_cast<void>(state.health_.OnComplete(unitTime, typical, aNow));
   } else {
     static_cast<void>(state.health_.OnFailure(aNow));
   }
-  AdjustLimit(state.limit_, aRequest, aDone, state.load_.InFlight(), aNow);
+  AdjustLimit(state.limit_, aRequest, aResult, state.load_.InFlight(), aNow);
 }
 
 std::vector<UpstreamView>
--- a/src/process/router_pick.cpp
+++ b/src/process/router_pick.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 /// Draws made when those before found none that may take the request.
-constexpr std::size_t kMoreDraws = 28;
+constexpr std::size_t kMaxFallbackCandidates = 28;
 /// Of four draws, those in our own zone if it has upstreams.
-constexpr std::uint64_t kDrawsOfFour = 4;
-constexpr std::uint64_t kNearOfFour = 3;
+constexpr std::uint64_t kZoneDrawRange = 4;
+constexpr std::uint64_t kLocalZoneDraws = 3;
 /// One in so many requests tests an upstream on probation, if it sees one.
 constexpr std::uint64_t kProbeOneIn = 32;
 
 /// Why an upstream may or may not take a request; the best first.
-enum class Standing : std::uint8_t
+enum class CandidateRank : std::uint8_t
 {
   /// On probation and due for a test.
-  Untested,
+  Probe,
   Open,
   /// It failed this request before.
   Tried,
@@ -33,15 +33,15 @@
   Full,
 };
 
-/// The best of the candidates seen so far.
-class Choice
+/// The best of the candidates seen so remote.
+class CandidateSelection
 {
 public:
-  Choice(const RequestSpec& aRequest,
-         const std::vector<UpstreamId>& aTried,
-         const RouterTuning& aTuning,
-         Random& aRandom,
-         TimePoint aNow) noexcept
+  CandidateSelection(const RequestSpec& aRequest,
+                     const std::vector<UpstreamId>& aTried,
+                     const RouterTuning& aTuning,
+                     Random& aRandom,
+                     TimePoint aNow) noexcept
     : request_(aRequest)
     , tried_(aTried)
     , tuning_(aTuning)
@@ -51,18 +51,18 @@
   {
   }
 
-  void Consider(const RoutedPtr& aUpstream, double aTrust, bool aFar)
+  void Consider(const RoutedPtr& aUpstream, double aTrust, bool aRemote)
   {
-    const Standing standing = Judge(*aUpstream);
-    sawFull_ = sawFull_ || standing == Standing::Full;
-    if (standing == Standing::Full || standing > standing_) {
+    const CandidateRank rank = RankOf(*aUpstream);
+    sawFull_ = sawFull_ || rank == CandidateRank::Full;
+    if (rank == CandidateRank::Full || rank > bestRank_) {
       return;
     }
     const double cost =
-      CompletionCost(*aUpstream, request_, aTrust, aFar, tuning_, now_) *
-      (1 + tuning_.blur_ * random_.Unit());
-    if (standing < standing_ || cost < cost_) {
-      standing_ = standing;
+      CompletionCost(*aUpstream, request_, aTrust, aRemote, tuning_, now_) *
+      (1 + tuning_.costJitter_ * random_.Unit());
+    if (rank < bestRank_ || cost < cost_) {
+      bestRank_ = rank;
       cost_ = cost;
       best_ = &aUpstream;
     }
@@ -70,14 +70,14 @@
 
   [[nodiscard]] bool Found() const noexcept
   {
-    return best_ != nullptr && standing_ <= Standing::Open;
+    return best_ != nullptr && bestRank_ <= CandidateRank::Open;
   }
 
   /// @returns the best, or null; waiting for a full upstream is better than
   /// an ejected one
-  [[nodiscard]] UpstreamPtr Take() const
+  [[nodiscard]] UpstreamPtr Best() const
   {
-    const bool wait = standing_ == Standing::Ejected && sawFull_;
+    const bool wait = bestRank_ == CandidateRank::Ejected && sawFull_;
     return best_ == nullptr || wait ? nullptr
                                     : UpstreamPtr(*best_, &(*best_)->view_);
   }
@@ -92,23 +92,23 @@
     return bound ? std::min(most, aUpstream.state_->limit_.Get()) : most;
   }
 
-  [[nodiscard]] Standing Judge(const RoutedUpstream& aUpstream) const
+  [[nodiscard]] CandidateRank RankOf(const RoutedUpstream& aUpstream) const
   {
     const UpstreamState& state = *aUpstream.state_;
     if (state.load_.InFlight() >= Limit(aUpstream)) {
-      return Standing::Full;
+      return CandidateRank::Full;
     }
-    const bool untested = state.health_.OnProbation();
+    const bool onProbation = state.health_.OnProbation();
     if (state.health_.Ejected(now_) ||
-        (untested && !probe_ && request_.class_ == RequestClass::Live)) {
-      return Standing::Ejected;
+        (onProbation && !probe_ && request_.class_ == RequestClass::Live)) {
+      return CandidateRank::Ejected;
     }
     const bool tried =
       std::find(tried_.begin(), tried_.end(), aUpstream.view_.id_) !=
       tried_.end();
-    return tried                ? Standing::Tried
-           : untested && probe_ ? Standing::Untested
-                                : Standing::Open;
+    return tried                   ? CandidateRank::Tried
+           : onProbation && probe_ ? CandidateRank::Probe
+                                   : CandidateRank::Open;
   }
 
   const RequestSpec& request_;
@@ -117,7 +117,7 @@
   Random& random_;
   bool probe_;
   TimePoint now_;
-  Standing standing_ = Standing::Full;
+  CandidateRank bestRank_ = CandidateRank::Full;
   double cost_ = std::numeric_limits<double>::max();
   const RoutedPtr* best_ = nullptr;
   bool sawFull_ = false;
@@ -126,12 +126,12 @@
 /// The part of a pool that is eligible by version.
 struct Eligible
 {
-  std::span<const PoolMember> near_;
-  std::span<const PoolMember> far_;
+  std::span<const PoolMember> local_;
+  std::span<const PoolMember> remote_;
 
   [[nodiscard]] std::size_t size() const noexcept
   {
-    return near_.size() + far_.size();
+    return local_.size() + remote_.size();
   }
 };
 
@@ -147,56 +147,57 @@
   return 0;
 }
 
-/// Considers one member by its place, the near ones first.
+/// Considers one member by its place, the local ones first.
 void
-ConsiderAt(Choice& aChoice,
+ConsiderAt(CandidateSelection& aSelection,
            const Eligible& aEligible,
            std::size_t aIndex,
            const PrefixHints::Hints& aHints)
 {
-  const bool far = aIndex >= aEligible.near_.size();
+  const bool remote = aIndex >= aEligible.local_.size();
   const RoutedPtr& upstream =
-    far ? aEligible.far_[aIndex - aEligible.near_.size()].upstream_
-        : aEligible.near_[aIndex].upstream_;
-  aChoice.Consider(upstream, TrustOf(aHints, upstream->slot_), far);
+    remote ? aEligible.remote_[aIndex - aEligible.local_.size()].upstream_
+           : aEligible.local_[aIndex].upstream_;
+  aSelection.Consider(upstream, TrustOf(aHints, upstream->slot_), remote);
 }
 
-/// @returns the place of a member drawn at random, near ones more often
+/// @returns the place of a member drawn at random, local ones more often
 std::size_t
 Draw(const Eligible& aEligible, Random& aRandom)
 {
-  const bool near =
-    aEligible.far_.empty() ||
-    (!aEligible.near_.empty() && aRandom.Below(kDrawsOfFour) < kNearOfFour);
-  return near ? aRandom.Below(aEligible.near_.size())
-              : aEligible.near_.size() + aRandom.Below(aEligible.far_.size());
+  const bool local = aEligible.remote_.empty() ||
+                     (!aEligible.local_.empty() &&
+                      aRandom.Below(kZoneDrawRange) < kLocalZoneDraws);
+  return local
+           ? aRandom.Below(aEligible.local_.size())
+           : aEligible.local_.size() + aRandom.Below(aEligible.remote_.size());
 }
 
 /// Considers members until enough were seen, and some more if none of them
 /// may take the request.
 void
-ConsiderSome(Choice& aChoice,
-             const Eligible& aEligible,
-             std::size_t aChoices,
-             const PrefixHints::Hints& aHints,
-             Random& aRandom)
+ConsiderSample(CandidateSelection& aSelection,
+               const Eligible& aEligible,
+               std::size_t aCandidates,
+               const PrefixHints::Hints& aHints,
+               Random& aRandom)
 {
-  if (aEligible.size() <= aChoices) {
+  if (aEligible.size() <= aCandidates) {
     for (std::size_t i = 0; i < aEligible.size(); ++i) {
-      ConsiderAt(aChoice, aEligible, i, aHints);
+      ConsiderAt(aSelection, aEligible, i, aHints);
     }
     return;
   }
   std::size_t last = aEligible.size();
-  for (std::size_t i = 0; i < aChoices; ++i) {
+  for (std::size_t i = 0; i < aCandidates; ++i) {
     const std::size_t drawn = Draw(aEligible, aRandom);
     last = drawn == last ? (drawn + 1) % aEligible.size() : drawn;
-    ConsiderAt(aChoice, aEligible, last, aHints);
+    ConsiderAt(aSelection, aEligible, last, aHints);
   }
   const std::size_t start = aRandom.Below(aEligible.size());
-  const std::size_t more = std::min(kMoreDraws, aEligible.size());
-  for (std::size_t i = 0; i < more && !aChoice.Found(); ++i) {
-    ConsiderAt(aChoice, aEligible, (start + i) % aEligible.size(), aHints);
+  const std::size_t more = std::min(kMaxFallbackCandidates, aEligible.size());
+  for (std::size_t i = 0; i < more && !aSelection.Found(); ++i) {
+    ConsiderAt(aSelection, aEligible, (start + i) % aEligible.size(), aHints);
   }
 }
 
@@ -213,8 +214,8 @@
   if (pool == nullptr) {
     return nullptr;
   }
-  const Eligible eligible{ AtLeast(pool->near_, aRequest.minVersion_),
-                           AtLeast(pool->far_, aRequest.minVersion_) };
+  const Eligible eligible{ AtLeast(pool->local_, aRequest.minVersion_),
+                           AtLeast(pool->remote_, aRequest.minVersion_) };
   if (eligible.size() == 0) {
     return nullptr;
   }
@@ -223,7 +224,7 @@
   if (tuning_.prefixHints_ && aRequest.prefixHash_ != 0) {
     hints = hints_.Find(aRequest.prefixHash_, aNow);
   }
-  Choice choice(aRequest, aTried, tuning_, random, aNow);
+  CandidateSelection selection(aRequest, aTried, tuning_, random, aNow);
   for (const PrefixHints::Hint& hint : hints) {
     const auto hinted = hint.trust_ > 0 ? snapshot.bySlot_.find(hint.slot_)
                                         : snapshot.bySlot_.end();
@@ -231,12 +232,12 @@
         hinted->second->view_.service_ == aRequest.service_ &&
         hinted->second->view_.TakesWork() &&
         hinted->second->Serves(aRequest.model_, aRequest.minVersion_)) {
-      choice.Consider(
+      selection.Consider(
         hinted->second, hint.trust_, hinted->second->view_.zone_ != zone_);
     }
   }
-  ConsiderSome(choice, eligible, tuning_.choices_, hints, random);
-  return choice.Take();
+  ConsiderSample(selection, eligible, tuning_.candidates_, hints, random);
+  return selection.Best();
 }
 
 } // namespace marjoramtally
--- a/src/process/routing_snapshot.cpp
+++ b/src/process/routing_snapshot.cpp
@@ -12,7 +12,8 @@
     const RoutedPtr& aUpstream,
     const ZoneId& aZone)
 {
-  auto& members = aUpstream->view_.zone_ == aZone ? aPool.near_ : aPool.far_;
+  auto& members =
+    aUpstream->view_.zone_ == aZone ? aPool.local_ : aPool.remote_;
   members.push_back({ aVersion, aUpstream });
 }
 
@@ -86,8 +87,8 @@
   }
   for (auto& [service, pools] : snapshot->pools_) {
     for (auto& [model, pool] : pools) {
-      SortByVersion(pool.near_);
-      SortByVersion(pool.far_);
+      SortByVersion(pool.local_);
+      SortByVersion(pool.remote_);
     }
   }
   return snapshot;
--- a/src/process/routing_snapshot.hpp
+++ b/src/process/routing_snapshot.hpp
@@ -29,7 +29,7 @@
 /// What all upstreams of a service share.
 struct ServiceState
 {
-  TypicalSpeed typicalSpeed_;
+  TypicalUnitTime typicalUnitTime_;
   /// Mean of what other entries keep at an upstream.
   std::atomic<double> meanOthers_{ 0 };
 };
@@ -61,8 +61,8 @@
 struct Pool
 {
   /// In our zone.
-  std::vector<PoolMember> near_;
-  std::vector<PoolMember> far_;
+  std::vector<PoolMember> local_;
+  std::vector<PoolMember> remote_;
 };
 
 /// @returns the members of at least this version
--- a/src/process/straggler.cpp
+++ b/src/process/straggler.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Part by which the bound of lengths sinks with each shorter answer.
-constexpr double kLongestDecay = 0.002;
+constexpr double kMaxLengthDecay = 0.002;
 
 } // namespace
 
@@ -43,70 +43,73 @@
   members_.erase(it);
   const double expected = member.start_.expectedTokens_;
   if (member.acted_ && !member.start_.progressKnown_) {
-    pledged_ = std::max(0.0, pledged_ - expected);
+    reservedTokens_ = std::max(0.0, reservedTokens_ - expected);
   }
   if (!aTokens || *aTokens < 1) {
     return;
   }
-  generated_ += *aTokens;
-  longest_ = std::max(*aTokens / expected, longest_ * (1 - kLongestDecay));
-  if (*aTokens < settings_.leastTokens_) {
+  generatedTokens_ += *aTokens;
+  maxLengthRatio_ =
+    std::max(*aTokens / expected, maxLengthRatio_ * (1 - kMaxLengthDecay));
+  if (*aTokens < settings_.minTokens_) {
     return;
   }
   const auto took = static_cast<double>((aNow - member.startedAt_).count());
-  pace_.Add(took / *aTokens);
-  usualPace_.Add(took / *aTokens);
+  medianTokenTime_.Add(took / *aTokens);
+  p90TokenTime_.Add(took / *aTokens);
 }
 
 double
 StragglerPolicy::TokensIn(Duration aTime) const noexcept
 {
-  const double pace = pace_.Get();
-  return pace <= 0 ? 0 : static_cast<double>(aTime.count()) / pace;
+  const double tokenTime = medianTokenTime_.Get();
+  return tokenTime <= 0 ? 0 : static_cast<double>(aTime.count()) / tokenTime;
 }
 
 double
-StragglerPolicy::Overdue(const Member& aMember, TimePoint aNow) const
+StragglerPolicy::Lateness(const Member& aMember, TimePoint aNow) const
 {
   const auto elapsed = static_cast<double>((aNow - aMember.startedAt_).count());
   if (aMember.start_.progressKnown_) {
-    const double tokens = std::max(aMember.tokens_, settings_.leastTokens_);
-    return elapsed / (tokens * pace_.Get() * settings_.latePace_);
+    const double tokens = std::max(aMember.tokens_, settings_.minTokens_);
+    return elapsed /
+           (tokens * medianTokenTime_.Get() * settings_.lateTokenTimeFactor_);
   }
-  return elapsed / (aMember.start_.expectedTokens_ * longest_ *
-                    settings_.lateLength_ * usualPace_.Get());
+  return elapsed / (aMember.start_.expectedTokens_ * maxLengthRatio_ *
+                    settings_.lateLengthFactor_ * p90TokenTime_.Get());
 }
 
 bool
-StragglerPolicy::Afford(double aTokens)
+StragglerPolicy::ReserveTokens(double aTokens)
 {
-  if (wasted_ + pledged_ + aTokens > settings_.budget_ * generated_) {
+  if (wastedTokens_ + reservedTokens_ + aTokens >
+      settings_.extraTokenBudget_ * generatedTokens_) {
     return false;
   }
-  pledged_ += aTokens;
+  reservedTokens_ += aTokens;
   return true;
 }
 
 std::vector<StragglerAction>
 StragglerPolicy::Review(TimePoint aNow, std::size_t aIdleSlots)
 {
-  std::vector<Late> late;
+  std::vector<LateMember> late;
   for (const auto& [ticket, member] : members_) {
-    const double overdue =
-      member.acted_ || pace_.Get() <= 0 ? 0 : Overdue(member, aNow);
-    if (overdue > 1) {
-      late.push_back({ overdue, ticket });
+    const double lateness =
+      member.acted_ || medianTokenTime_.Get() <= 0 ? 0 : Lateness(member, aNow);
+    if (lateness > 1) {
+      late.push_back({ lateness, ticket });
     }
   }
   std::sort(late.rbegin(), late.rend());
   std::vector<StragglerAction> actions;
-  for (const Late& candidate : late) {
+  for (const LateMember& candidate : late) {
     Member& member = members_.at(candidate.ticket_);
     if (actions.size() >= aIdleSlots) {
       break;
     }
     const bool resume = member.start_.progressKnown_;
-    if (!resume && !Afford(member.start_.expectedTokens_)) {
+    if (!resume && !ReserveTokens(member.start_.expectedTokens_)) {
       break;
     }
     member.acted_ = true;
--- a/src/process/upstream.cpp
+++ b/src/process/upstream.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Marks kept of one name; older ones are of starts long gone.
-constexpr std::size_t kMostMarks = 4;
+constexpr std::size_t kMaxMarksPerUpstream = 4;
 
 } // namespace
 
@@ -18,7 +18,7 @@
     return;
   }
   auto& marks = marks_[aUpstream.id_];
-  if (marks.size() >= kMostMarks) {
+  if (marks.size() >= kMaxMarksPerUpstream) {
     marks.erase(marks.begin());
   }
   marks.push_back({ aUpstream.address_, aUpstream.incarnation_ });
--- a/src/process/upstream_health.cpp
+++ b/src/process/upstream_health.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-constexpr double kTypicalStep = 1.02;
+constexpr double kMedianStep = 1.02;
 /// Weight of the newest speed.
-constexpr double kSpeedWeight = 0.1;
+constexpr double kSampleWeight = 0.1;
 /// Weight of the newest gap between answers.
 constexpr double kGapWeight = 0.1;
 /// An upstream this many times slower than usual is an outlier.
 constexpr double kOutlierFactor = 3.0;
-constexpr std::uint32_t kSpeedsToJudge = 5;
+constexpr std::uint32_t kMinSamplesToEject = 5;
 constexpr std::uint32_t kFailuresToEject = 2;
-constexpr Duration kFirstEjection = std::chrono::seconds(2);
-constexpr std::uint32_t kMostDoublings = 4;
+constexpr Duration kBaseEjectionTime = std::chrono::seconds(2);
+constexpr std::uint32_t kMaxDoublings = 4;
 /// Answers to come before an upstream on probation is trusted.
-constexpr std::uint32_t kSpeedsToTrust = 5;
+constexpr std::uint32_t kMinSamplesToTrust = 5;
 constexpr Duration kSlowStartPeriod = std::chrono::milliseconds(500);
-constexpr std::uint64_t kSlowStartFirst = 2;
+constexpr std::uint64_t kSlowStartInitialLimit = 2;
 constexpr std::uint32_t kSlowStartPeriods = 8;
 /// Gaps between answers this many times the usual are nothing special.
-constexpr double kUsualGaps = 4.0;
-constexpr double kShortestGapMicros = 20'000;
+constexpr double kStallGaps = 4.0;
+constexpr double kMinGapMicros = 20'000;
 
 /// What is known of a speed counts half after this time without an answer, so
 /// that an upstream that was slow once is tried again.
@@ -35,46 +35,47 @@
 } // namespace
 
 void
-TypicalSpeed::Add(double aMicrosPerUnit) noexcept
+TypicalUnitTime::Add(double aMicrosPerUnit) noexcept
 {
   const double now = Get();
   const double next = now <= 0               ? aMicrosPerUnit
-                      : aMicrosPerUnit > now ? now * kTypicalStep
-                                             : now / kTypicalStep;
+                      : aMicrosPerUnit > now ? now * kMedianStep
+                                             : now / kMedianStep;
   value_.store(next, kRelaxed);
 }
 
 void
-UpstreamHealth::Blend(double aMicrosPerUnit,
-                      const TypicalSpeed& aTypical,
-                      TimePoint aNow) noexcept
+UpstreamHealth::AddSample(double aMicrosPerUnit,
+                          const TypicalUnitTime& aTypical,
+                          TimePoint aNow) noexcept
 {
-  const double known =
-    speed_.load(kRelaxed) <= 0 ? aMicrosPerUnit : Known(aTypical, aNow);
-  speed_.store(known + kSpeedWeight * (aMicrosPerUnit - known), kRelaxed);
-  lastSpeedAt_.store(aNow.sinceStart_.count(), kRelaxed);
-  speeds_.fetch_add(1, kRelaxed);
+  const double known = unitTime_.load(kRelaxed) <= 0
+                         ? aMicrosPerUnit
+                         : KnownUnitTime(aTypical, aNow);
+  unitTime_.store(known + kSampleWeight * (aMicrosPerUnit - known), kRelaxed);
+  lastSampleAt_.store(aNow.sinceStart_.count(), kRelaxed);
+  samples_.fetch_add(1, kRelaxed);
 }
 
 HealthChange
-UpstreamHealth::OnWhole(double aMicrosPerUnit,
-                        TypicalSpeed& aTypical,
-                        TimePoint aNow) noexcept
+UpstreamHealth::OnComplete(double aMicrosPerUnit,
+                           TypicalUnitTime& aTypical,
+                           TimePoint aNow) noexcept
 {
   failures_.store(0, kRelaxed);
   const Duration::rep now = aNow.sinceStart_.count();
-  const Duration::rep last = lastWholeAt_.exchange(now, kRelaxed);
+  const Duration::rep last = lastCompleteAt_.exchange(now, kRelaxed);
   if (last >= 0) {
-    const double gap = gapMicros_.load(kRelaxed);
+    const double gap = answerGapMicros_.load(kRelaxed);
     const auto newest = static_cast<double>(now - last);
-    gapMicros_.store(gap <= 0 ? newest : gap + kGapWeight * (newest - gap),
-                     kRelaxed);
+    answerGapMicros_.store(
+      gap <= 0 ? newest : gap + kGapWeight * (newest - gap), kRelaxed);
   }
   aTypical.Add(aMicrosPerUnit);
-  Blend(aMicrosPerUnit, aTypical, aNow);
-  const HealthChange change = JudgeSpeed(aTypical, aNow);
+  AddSample(aMicrosPerUnit, aTypical, aNow);
+  const HealthChange change = EjectIfOutlier(aTypical, aNow);
   if (change == HealthChange::None &&
-      speeds_.load(kRelaxed) >= kSpeedsToTrust) {
+      samples_.load(kRelaxed) >= kMinSamplesToTrust) {
     if (probation_.exchange(false, kRelaxed)) {
       admittedAt_.store(now, kRelaxed);
     }
@@ -84,14 +85,14 @@
 
 HealthChange
 UpstreamHealth::OnTimeout(double aMicrosPerUnit,
-                          const TypicalSpeed& aTypical,
+                          const TypicalUnitTime& aTypical,
                           TimePoint aNow) noexcept
 {
-  if (aMicrosPerUnit <= speed_.load(kRelaxed)) {
+  if (aMicrosPerUnit <= unitTime_.load(kRelaxed)) {
     return HealthChange::None;
   }
-  Blend(aMicrosPerUnit, aTypical, aNow);
-  return JudgeSpeed(aTypical, aNow);
+  AddSample(aMicrosPerUnit, aTypical, aNow);
+  return EjectIfOutlier(aTypical, aNow);
 }
 
 HealthChange
@@ -103,13 +104,13 @@
 }
 
 HealthChange
-UpstreamHealth::JudgeSpeed(const TypicalSpeed& aTypical,
-                           TimePoint aNow) noexcept
+UpstreamHealth::EjectIfOutlier(const TypicalUnitTime& aTypical,
+                               TimePoint aNow) noexcept
 {
   const double usual = aTypical.Get();
-  const std::uint32_t needed = OnProbation() ? 1 : kSpeedsToJudge;
-  const bool outlier = usual > 0 && speeds_.load(kRelaxed) >= needed &&
-                       speed_.load(kRelaxed) > kOutlierFactor * usual;
+  const std::uint32_t needed = OnProbation() ? 1 : kMinSamplesToEject;
+  const bool outlier = usual > 0 && samples_.load(kRelaxed) >= needed &&
+                       unitTime_.load(kRelaxed) > kOutlierFactor * usual;
   return outlier ? Eject(aNow) : HealthChange::None;
 }
 
@@ -120,16 +121,16 @@
     return HealthChange::None;
   }
   const std::uint32_t doublings =
-    std::min(ejections_.fetch_add(1, kRelaxed), kMostDoublings);
+    std::min(ejections_.fetch_add(1, kRelaxed), kMaxDoublings);
   const Duration::rep until =
-    (aNow + kFirstEjection * (1U << doublings)).sinceStart_.count();
+    (aNow + kBaseEjectionTime * (1U << doublings)).sinceStart_.count();
   ejectedUntil_.store(until, kRelaxed);
   admittedAt_.store(until, kRelaxed);
   probation_.store(true, kRelaxed);
   failures_.store(0, kRelaxed);
-  speeds_.store(0, kRelaxed);
-  speed_.store(0, kRelaxed);
-  lastWholeAt_.store(-1, kRelaxed);
+  samples_.store(0, kRelaxed);
+  unitTime_.store(0, kRelaxed);
+  lastCompleteAt_.store(-1, kRelaxed);
   return HealthChange::Ejected;
 }
 
@@ -151,39 +152,39 @@
     std::max<Duration::rep>(age, 0) / kSlowStartPeriod.count();
   return periods >= kSlowStartPeriods
            ? UINT64_MAX
-           : kSlowStartFirst << static_cast<unsigned>(periods);
+           : kSlowStartInitialLimit << static_cast<unsigned>(periods);
 }
 
 double
-UpstreamHealth::Stall(bool aBusy, TimePoint aNow) const noexcept
+UpstreamHealth::StallFactor(bool aBusy, TimePoint aNow) const noexcept
 {
-  const Duration::rep last = lastWholeAt_.load(kRelaxed);
-  const double gap = std::max(gapMicros_.load(kRelaxed), kShortestGapMicros);
+  const Duration::rep last = lastCompleteAt_.load(kRelaxed);
+  const double gap = std::max(answerGapMicros_.load(kRelaxed), kMinGapMicros);
   if (!aBusy || last < 0) {
     return 1;
   }
   const auto since = static_cast<double>(aNow.sinceStart_.count() - last);
-  return std::max(1.0, since / (kUsualGaps * gap));
+  return std::max(1.0, since / (kStallGaps * gap));
 }
 
 double
-UpstreamHealth::MicrosPerUnit(const TypicalSpeed& aTypical,
+UpstreamHealth::MicrosPerUnit(const TypicalUnitTime& aTypical,
                               bool aBusy,
                               TimePoint aNow) const noexcept
 {
-  return Known(aTypical, aNow) * Stall(aBusy, aNow);
+  return KnownUnitTime(aTypical, aNow) * StallFactor(aBusy, aNow);
 }
 
 double
-UpstreamHealth::Known(const TypicalSpeed& aTypical,
-                      TimePoint aNow) const noexcept
+UpstreamHealth::KnownUnitTime(const TypicalUnitTime& aTypical,
+                              TimePoint aNow) const noexcept
 {
-  const double own = speed_.load(kRelaxed);
+  const double own = unitTime_.load(kRelaxed);
   const double usual = aTypical.Get() > 0 ? aTypical.Get() : 1;
   if (own <= 0) {
     return usual;
   }
-  const Duration::rep last = lastSpeedAt_.load(kRelaxed);
+  const Duration::rep last = lastSampleAt_.load(kRelaxed);
   const double age =
     static_cast<double>(aNow.sinceStart_.count() - last) / kHalfAgeMicros;
   return usual + (own - usual) / (1 + age * age);
--- a/src/process/upstream_board.cpp
+++ b/src/process/upstream_table.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/process/upstream_board.hpp"
+#include "marjoramtally/process/upstream_table.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -8,7 +8,7 @@
 namespace {
 
 double
-LoadOf(const BoardUpstream& aUpstream) noexcept
+LoadOf(const TrackedUpstream& aUpstream) noexcept
 {
   return static_cast<double>(aUpstream.inFlight_) /
          std::max(1U, aUpstream.entry_.slots_);
@@ -16,8 +16,8 @@
 
 } // namespace
 
-UpstreamBoard::UpstreamBoard(ZoneId aZone,
-                             BoardPolicy aPolicy,
+UpstreamTable::UpstreamTable(ZoneId aZone,
+                             SelectionPolicy aPolicy,
                              std::string aSelf)
   : zone_(std::move(aZone))
   , policy_(aPolicy)
@@ -25,14 +25,14 @@
 {
 }
 
-UpstreamBoard::Rank
-UpstreamBoard::RankOf(const BoardUpstream& aUpstream)
+UpstreamTable::Rank
+UpstreamTable::RankOf(const TrackedUpstream& aUpstream)
 {
-  return { LoadOf(aUpstream), aUpstream.order_, aUpstream.entry_.id_ };
+  return { LoadOf(aUpstream), aUpstream.tieBreak_, aUpstream.entry_.id_ };
 }
 
 void
-UpstreamBoard::List(const BoardUpstream& aUpstream)
+UpstreamTable::AddToRankings(const TrackedUpstream& aUpstream)
 {
   const Rank rank = RankOf(aUpstream);
   Service& service = services_[aUpstream.entry_.service_];
@@ -44,7 +44,7 @@
 }
 
 void
-UpstreamBoard::Unlist(const BoardUpstream& aUpstream)
+UpstreamTable::RemoveFromRankings(const TrackedUpstream& aUpstream)
 {
   const auto found = services_.find(aUpstream.entry_.service_);
   if (found == services_.end()) {
@@ -65,37 +65,37 @@
   }
 }
 
-const UpstreamBoard::Service*
-UpstreamBoard::FindService(const ServiceId& aService) const
+const UpstreamTable::Service*
+UpstreamTable::FindService(const ServiceId& aService) const
 {
   const auto service = services_.find(aService);
   return service == services_.end() ? nullptr : &service->second;
 }
 
 EntryEffect
-UpstreamBoard::OnEntry(UpstreamEntry aEntry)
+UpstreamTable::OnEntry(UpstreamEntry aEntry)
 {
-  const auto known = starts_.find(aEntry.id_);
-  if (known != starts_.end() && aEntry.start_ < known->second) {
+  const auto known = latestStarts_.find(aEntry.id_);
+  if (known != latestStarts_.end() && aEntry.start_ < known->second) {
     return EntryEffect::Outdated;
   }
   if (aEntry.start_ != UpstreamStart{}) {
-    starts_[aEntry.id_] = aEntry.start_;
+    latestStarts_[aEntry.id_] = aEntry.start_;
   }
   const bool present = upstreams_.contains(aEntry.id_);
-  BoardUpstream& upstream = upstreams_[aEntry.id_];
+  TrackedUpstream& upstream = upstreams_[aEntry.id_];
   if (present) {
-    Unlist(upstream);
+    RemoveFromRankings(upstream);
   }
   const bool restarted = present && upstream.entry_.start_ < aEntry.start_;
   if (restarted) {
-    BoardUpstream fresh;
+    TrackedUpstream fresh;
     fresh.inFlight_ = upstream.inFlight_;
-    fresh.heard_ = upstream.heard_;
+    fresh.lastReceivedAt_ = upstream.lastReceivedAt_;
     upstream = std::move(fresh);
   }
-  upstream.vanished_ = kNever;
-  upstream.order_ =
+  upstream.removedAt_ = kNever;
+  upstream.tieBreak_ =
     self_.empty() ? 0
                   : std::hash<std::string>{}(self_ + '/' + aEntry.id_.Get());
   for (const ModelVersion& model : aEntry.models_) {
@@ -106,32 +106,32 @@
   const bool draining = upstream.entry_.draining_ || aEntry.draining_;
   upstream.entry_ = std::move(aEntry);
   upstream.entry_.draining_ = draining;
-  List(upstream);
+  AddToRankings(upstream);
   return restarted ? EntryEffect::Restarted : EntryEffect::Current;
 }
 
 void
-UpstreamBoard::OnVanished(const UpstreamId& aId, TimePoint aNow)
+UpstreamTable::OnRemoved(const UpstreamId& aId, TimePoint aNow)
 {
   const auto it = upstreams_.find(aId);
-  if (it != upstreams_.end() && it->second.vanished_ == kNever) {
-    it->second.vanished_ = aNow;
+  if (it != upstreams_.end() && it->second.removedAt_ == kNever) {
+    it->second.removedAt_ = aNow;
   }
   // What vanished long ago and has nothing in flight is forgotten.
   std::erase_if(upstreams_, [&](const auto& aEntry) {
-    const BoardUpstream& upstream = aEntry.second;
-    const bool forgotten = upstream.vanished_ != kNever &&
+    const TrackedUpstream& upstream = aEntry.second;
+    const bool forgotten = upstream.removedAt_ != kNever &&
                            upstream.inFlight_ == 0 &&
-                           aNow - upstream.vanished_ > policy_.vanishGrace_;
+                           aNow - upstream.removedAt_ > policy_.removalGrace_;
     if (forgotten) {
-      Unlist(upstream);
+      RemoveFromRankings(upstream);
     }
     return forgotten;
   });
 }
 
 std::vector<UpstreamId>
-UpstreamBoard::OnList(std::vector<UpstreamEntry> aEntries, TimePoint aNow)
+UpstreamTable::OnList(std::vector<UpstreamEntry> aEntries, TimePoint aNow)
 {
   std::set<UpstreamId> listed;
   std::vector<UpstreamId> restarted;
@@ -149,46 +149,46 @@
     }
   }
   for (const UpstreamId& id : missing) {
-    OnVanished(id, aNow);
+    OnRemoved(id, aNow);
   }
   return restarted;
 }
 
 void
-UpstreamBoard::OnStart(const UpstreamId& aId, TimePoint aNow)
+UpstreamTable::OnStart(const UpstreamId& aId, TimePoint aNow)
 {
   const auto it = upstreams_.find(aId);
   if (it == upstreams_.end()) {
     return;
   }
-  BoardUpstream& upstream = it->second;
-  Unlist(upstream);
+  TrackedUpstream& upstream = it->second;
+  RemoveFromRankings(upstream);
   if (upstream.inFlight_++ == 0) {
-    upstream.heard_ = aNow;
+    upstream.lastReceivedAt_ = aNow;
   }
-  List(upstream);
+  AddToRankings(upstream);
 }
 
 void
-UpstreamBoard::OnHeard(const UpstreamId& aId, TimePoint aNow)
+UpstreamTable::OnReceived(const UpstreamId& aId, TimePoint aNow)
 {
   const auto it = upstreams_.find(aId);
   if (it != upstreams_.end()) {
-    it->second.heard_ = aNow;
+    it->second.lastReceivedAt_ = aNow;
   }
 }
 
 bool
-UpstreamBoard::Quiet(const BoardUpstream& aUpstream,
-                     TimePoint aNow) const noexcept
+UpstreamTable::Unresponsive(const TrackedUpstream& aUpstream,
+                            TimePoint aNow) const noexcept
 {
   const Duration longest =
-    std::max(policy_.quietTime_, aUpstream.pace_ * policy_.quietPaces_);
-  return aUpstream.inFlight_ > 0 && aNow - aUpstream.heard_ > longest;
+    std::max(policy_.idleTimeout_, aUpstream.pace_ * policy_.idleTimeoutPaces_);
+  return aUpstream.inFlight_ > 0 && aNow - aUpstream.lastReceivedAt_ > longest;
 }
 
 void
-UpstreamBoard::OnEnd(const UpstreamId& aId,
+UpstreamTable::OnEnd(const UpstreamId& aId,
                      CallVerdict aVerdict,
                      TimePoint aNow)
 {
@@ -196,48 +196,48 @@
   if (it == upstreams_.end()) {
     return;
   }
-  BoardUpstream& upstream = it->second;
+  TrackedUpstream& upstream = it->second;
   if (upstream.inFlight_ > 0) {
-    Unlist(upstream);
+    RemoveFromRankings(upstream);
     --upstream.inFlight_;
-    List(upstream);
+    AddToRankings(upstream);
   }
   if (aVerdict == CallVerdict::Answered || aVerdict == CallVerdict::Full) {
-    upstream.heard_ = aNow;
+    upstream.lastReceivedAt_ = aNow;
   }
   if (aVerdict == CallVerdict::Answered) {
     upstream.failures_ = 0;
   } else if (aVerdict == CallVerdict::Full) {
     upstream.avoidUntil_ =
-      std::max(upstream.avoidUntil_, aNow + policy_.fullPause_);
+      std::max(upstream.avoidUntil_, aNow + policy_.fullBackoff_);
   } else if (aVerdict == CallVerdict::Loading) {
     upstream.avoidUntil_ =
-      std::max(upstream.avoidUntil_, aNow + policy_.loadPause_);
+      std::max(upstream.avoidUntil_, aNow + policy_.loadingBackoff_);
   } else if (aVerdict == CallVerdict::Failed) {
     const std::uint32_t doublings = std::min(upstream.failures_, 10U);
     const Duration pause =
-      std::min(policy_.avoidFirst_ * (std::int64_t{ 1 } << doublings),
-               policy_.avoidLongest_);
+      std::min(policy_.initialBackoff_ * (std::int64_t{ 1 } << doublings),
+               policy_.maxBackoff_);
     ++upstream.failures_;
     upstream.avoidUntil_ = std::max(upstream.avoidUntil_, aNow + pause);
   }
 }
 
 void
-UpstreamBoard::OnReplaced(const UpstreamId& aId, TimePoint aNow)
+UpstreamTable::OnReplaced(const UpstreamId& aId, TimePoint aNow)
 {
   const auto it = upstreams_.find(aId);
   if (it != upstreams_.end()) {
     it->second.entry_.draining_ = true;
-    OnVanished(aId, aNow);
+    OnRemoved(aId, aNow);
   }
 }
 
 void
-UpstreamBoard::OnPace(const UpstreamId& aId, Duration aGap)
+UpstreamTable::OnPace(const UpstreamId& aId, Duration aGap)
 {
   const auto it = upstreams_.find(aId);
-  if (it == upstreams_.end() || aGap > policy_.longestGap_) {
+  if (it == upstreams_.end() || aGap > policy_.maxEventGap_) {
     return;
   }
   Duration& pace = it->second.pace_;
@@ -253,7 +253,7 @@
 }
 
 void
-UpstreamBoard::OnVersion(const UpstreamId& aId,
+UpstreamTable::OnVersion(const UpstreamId& aId,
                          const std::string& aModel,
                          WeightVersion aVersion)
 {
@@ -261,27 +261,27 @@
   if (it == upstreams_.end()) {
     return;
   }
-  BoardUpstream& upstream = it->second;
+  TrackedUpstream& upstream = it->second;
   const auto known = upstream.versions_.find(aModel);
   if (known != upstream.versions_.end() && known->second >= aVersion) {
     return;
   }
-  Unlist(upstream);
+  RemoveFromRankings(upstream);
   upstream.versions_[aModel] = aVersion;
-  List(upstream);
+  AddToRankings(upstream);
 }
 
 bool
-UpstreamBoard::Usable(const BoardUpstream& aUpstream,
+UpstreamTable::Usable(const TrackedUpstream& aUpstream,
                       TimePoint aNow) const noexcept
 {
-  const bool gone = aUpstream.vanished_ != kNever &&
-                    aNow - aUpstream.vanished_ >= policy_.vanishGrace_;
+  const bool gone = aUpstream.removedAt_ != kNever &&
+                    aNow - aUpstream.removedAt_ >= policy_.removalGrace_;
   return !gone && !aUpstream.entry_.draining_;
 }
 
-const BoardUpstream*
-UpstreamBoard::Pick(const ServiceId& aService,
+const TrackedUpstream*
+UpstreamTable::Pick(const ServiceId& aService,
                     const std::set<UpstreamId>& aTried,
                     TimePoint aNow) const
 {
@@ -289,23 +289,23 @@
   if (service == nullptr) {
     return nullptr;
   }
-  const BoardUpstream* best = nullptr;
+  const TrackedUpstream* best = nullptr;
   std::tuple<bool, bool, bool, double, bool, std::size_t> bestRank;
   for (const auto& [listed, upstream] : service->ranking_) {
     // None that follows has less in flight or lies nearer.
-    const auto& [vanished, avoided, quiet, load, far, order] = bestRank;
-    if (best != nullptr && !vanished && !avoided && !quiet &&
+    const auto& [vanished, avoided, unresponsive, load, far, order] = bestRank;
+    if (best != nullptr && !vanished && !avoided && !unresponsive &&
         (!far || std::get<0>(listed) > load)) {
       break;
     }
-    ++looks_;
+    ++inspected_;
     if (aTried.contains(upstream->entry_.id_) || !Usable(*upstream, aNow)) {
       continue;
     }
     const std::tuple rank{
-      upstream->vanished_ != kNever,   upstream->avoidUntil_ > aNow,
-      Quiet(*upstream, aNow),          LoadOf(*upstream),
-      upstream->entry_.zone_ != zone_, upstream->order_
+      upstream->removedAt_ != kNever,  upstream->avoidUntil_ > aNow,
+      Unresponsive(*upstream, aNow),   LoadOf(*upstream),
+      upstream->entry_.zone_ != zone_, upstream->tieBreak_
     };
     if (best == nullptr || rank < bestRank) {
       best = upstream;
@@ -316,7 +316,7 @@
 }
 
 bool
-UpstreamBoard::Fits(const BoardUpstream& aUpstream,
+UpstreamTable::Fits(const TrackedUpstream& aUpstream,
                     const ItemNeeds& aNeeds,
                     TimePoint aNow) const
 {
@@ -335,46 +335,46 @@
          aUpstream.inFlight_ < aUpstream.entry_.slots_;
 }
 
-const BoardUpstream*
-UpstreamBoard::PickForItem(const ItemNeeds& aNeeds, TimePoint aNow) const
+const TrackedUpstream*
+UpstreamTable::PickForItem(const ItemNeeds& aNeeds, TimePoint aNow) const
 {
   const Service* service = FindService(aNeeds.service_);
   if (service == nullptr) {
     return nullptr;
   }
   const Duration median = service->paces_.Get();
-  const BoardUpstream* preferred = Find(aNeeds.preferred_);
+  const TrackedUpstream* preferred = Find(aNeeds.preferred_);
   if (preferred != nullptr && Fits(*preferred, aNeeds, aNow) &&
-      !SlowerThan(*preferred, median) && !Quiet(*preferred, aNow)) {
+      !SlowerThan(*preferred, median) && !Unresponsive(*preferred, aNow)) {
     return preferred;
   }
-  using Faults = std::tuple<bool, bool, bool>;
-  constexpr Faults kNone{ false, false, false };
-  const BoardUpstream* best = nullptr;
-  std::pair<Faults, Rank> bestRank;
+  using Penalties = std::tuple<bool, bool, bool>;
+  constexpr Penalties kNone{ false, false, false };
+  const TrackedUpstream* best = nullptr;
+  std::pair<Penalties, Rank> bestRank;
   for (const Ranking* ranking : RankingsFor(aNeeds)) {
     for (const auto& [rank, upstream] : *ranking) {
       if (best != nullptr && bestRank < std::pair(kNone, rank)) {
         break;
       }
-      ++looks_;
+      ++inspected_;
       if (!Fits(*upstream, aNeeds, aNow)) {
         continue;
       }
-      const Faults faults{ upstream->vanished_ != kNever,
-                           Quiet(*upstream, aNow),
-                           SlowerThan(*upstream, median) };
-      if (best == nullptr || std::pair(faults, rank) < bestRank) {
+      const Penalties penalties{ upstream->removedAt_ != kNever,
+                                 Unresponsive(*upstream, aNow),
+                                 SlowerThan(*upstream, median) };
+      if (best == nullptr || std::pair(penalties, rank) < bestRank) {
         best = upstream;
-        bestRank = { faults, rank };
+        bestRank = { penalties, rank };
       }
     }
   }
   return best;
 }
 
-std::vector<const UpstreamBoard::Ranking*>
-UpstreamBoard::RankingsFor(const ItemNeeds& aNeeds) const
+std::vector<const UpstreamTable::Ranking*>
+UpstreamTable::RankingsFor(const ItemNeeds& aNeeds) const
 {
   const Service* service = FindService(aNeeds.service_);
   if (service == nullptr) {
@@ -397,7 +397,7 @@
 }
 
 bool
-UpstreamBoard::SlowerThan(const BoardUpstream& aUpstream,
+UpstreamTable::SlowerThan(const TrackedUpstream& aUpstream,
                           Duration aMedian) const noexcept
 {
   return static_cast<double>(aUpstream.pace_.count()) >
@@ -405,16 +405,16 @@
 }
 
 bool
-UpstreamBoard::Slow(const UpstreamId& aId) const
+UpstreamTable::Slow(const UpstreamId& aId) const
 {
-  const BoardUpstream* upstream = Find(aId);
+  const TrackedUpstream* upstream = Find(aId);
   return upstream != nullptr && upstream->pace_.count() > 0 &&
          SlowerThan(*upstream,
                     services_.at(upstream->entry_.service_).paces_.Get());
 }
 
-const BoardUpstream*
-UpstreamBoard::Find(const UpstreamId& aId) const
+const TrackedUpstream*
+UpstreamTable::Find(const UpstreamId& aId) const
 {
   const auto it = upstreams_.find(aId);
   return it == upstreams_.end() ? nullptr : &it->second;
--- a/src/programs/gatewayd/forwarder.cpp
+++ b/src/programs/gatewayd/forwarder.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-Forwarder::Forwarder(GatewayContext& aHost, UpstreamBoard& aBoard)
+Forwarder::Forwarder(GatewayContext& aHost, UpstreamTable& aTable)
   : host_(aHost)
-  , board_(aBoard)
+  , upstreamTable_(aTable)
   , crashes_(aHost)
 {
 }
@@ -78,7 +78,7 @@
   std::vector<ForwardId> lost;
   for (const auto& [id, flight] : flights_) {
     if (flight.inFlight_ && flight.upstream_ == aUpstream &&
-        host_.Now() - LastHeard(flight) >= Duration{ kRestartSilence }) {
+        host_.Now() - LastHeard(flight) >= Duration{ kRestartIdleTime }) {
       lost.push_back(id);
     }
   }
@@ -132,7 +132,7 @@
   return present ? &it->second : nullptr;
 }
 
-const BoardUpstream*
+const TrackedUpstream*
 Forwarder::PickFor(const Flight& aFlight) const
 {
   const ServiceId& service = aFlight.request_.service_;
@@ -140,13 +140,14 @@
   if (!avoid.empty()) {
     std::set<UpstreamId> excluded = aFlight.tried_;
     excluded.insert(avoid.begin(), avoid.end());
-    const BoardUpstream* apart = board_.Pick(service, excluded, host_.Now());
-    if (apart != nullptr && apart->vanished_ == kNever &&
+    const TrackedUpstream* apart =
+      upstreamTable_.Pick(service, excluded, host_.Now());
+    if (apart != nullptr && apart->removedAt_ == kNever &&
         apart->avoidUntil_ <= host_.Now()) {
       return apart;
     }
   }
-  return board_.Pick(service, aFlight.tried_, host_.Now());
+  return upstreamTable_.Pick(service, aFlight.tried_, host_.Now());
 }
 
 void
@@ -162,7 +163,7 @@
     GiveUp(aId, 502, kCrashesUpstreams);
     return;
   }
-  const BoardUpstream* upstream = PickFor(flight);
+  const TrackedUpstream* upstream = PickFor(flight);
   if (upstream == nullptr || !MayRetry(flight)) {
     if (flight.failure_ && !Begun(flight)) {
       Finish(aId, { std::move(*flight.failure_), true });
@@ -203,7 +204,9 @@
 }
 
 void
-Forwarder::Send(ForwardId aId, Flight& aFlight, const BoardUpstream& aUpstream)
+Forwarder::Send(ForwardId aId,
+                Flight& aFlight,
+                const TrackedUpstream& aUpstream)
 {
   aFlight.upstream_ = aUpstream.entry_.id_;
   aFlight.sent_ = host_.Now();
@@ -211,7 +214,7 @@
   aFlight.inFlight_ = true;
   aFlight.doubt_ = {};
   const std::uint32_t attempt = ++aFlight.attempt_;
-  board_.OnStart(aFlight.upstream_, host_.Now());
+  upstreamTable_.OnStart(aFlight.upstream_, host_.Now());
   crashes_.OnSent(aFlight.fingerprint_, aFlight.upstream_);
   LogEvent(LogLevel::Debug,
            "attempt_sent",
@@ -262,7 +265,7 @@
   }
   aFlight.inFlight_ = false;
   ++aFlight.attempt_;
-  board_.OnEnd(aFlight.upstream_, aVerdict, host_.Now());
+  upstreamTable_.OnEnd(aFlight.upstream_, aVerdict, host_.Now());
   const bool answered = aVerdict == CallVerdict::Answered;
   crashes_.OnEnd(aFlight.fingerprint_,
                  aFlight.upstream_,
@@ -391,7 +394,7 @@
   if (FindHeader(aResponse.headers_, names.notRun_) ||
       aResponse.status_ == 421) {
     if (aResponse.status_ == 421) {
-      board_.OnReplaced(aFlight.upstream_, host_.Now());
+      upstreamTable_.OnReplaced(aFlight.upstream_, host_.Now());
     }
     EndAttempt(aFlight, CallVerdict::Full);
     SendNext(aId);
@@ -418,8 +421,8 @@
     return;
   }
   Flight& flight = it->second;
-  const BoardUpstream* other =
-    board_.Pick(flight.request_.service_, flight.tried_, host_.Now());
+  const TrackedUpstream* other =
+    upstreamTable_.Pick(flight.request_.service_, flight.tried_, host_.Now());
   if (other == nullptr || other->avoidUntil_ > host_.Now()) {
     return;
   }
--- a/src/programs/gatewayd/forwarder.hpp
+++ b/src/programs/gatewayd/forwarder.hpp
@@ -71,7 +71,7 @@
 {
 public:
   /// Both outlive this.
-  Forwarder(GatewayContext& aHost, UpstreamBoard& aBoard);
+  Forwarder(GatewayContext& aHost, UpstreamTable& aTable);
 
   /// Starts a request; `aDone` is called once unless it is cancelled.
   ForwardId Start(ForwardRequest aRequest, ForwardDone aDone);
@@ -147,8 +147,8 @@
 
   void SendNext(ForwardId aId);
   /// @returns nullptr if no upstream is left
-  [[nodiscard]] const BoardUpstream* PickFor(const Flight& aFlight) const;
-  void Send(ForwardId aId, Flight& aFlight, const BoardUpstream& aUpstream);
+  [[nodiscard]] const TrackedUpstream* PickFor(const Flight& aFlight) const;
+  void Send(ForwardId aId, Flight& aFlight, const TrackedUpstream& aUpstream);
   [[nodiscard]] HttpCall MakeCall(const Flight& aFlight,
                                   const UpstreamEntry& aUpstream) const;
   void OnResult(ForwardId aId, std::uint32_t aAttempt, HttpResult aResult);
@@ -217,7 +217,7 @@
   void OnProgressDue(ForwardId aId);
 
   GatewayContext& host_;
-  UpstreamBoard& board_;
+  UpstreamTable& upstreamTable_;
   RequestQuarantine crashes_;
   UsageMeter usage_;
   ForwardId last_ = 0;
--- a/src/programs/gatewayd/forwarder_streams.cpp
+++ b/src/programs/gatewayd/forwarder_streams.cpp
@@ -57,7 +57,7 @@
 void
 Forwarder::TakeHead(Flight& aFlight, HttpResponse aHead)
 {
-  board_.OnHeard(aFlight.upstream_, host_.Now());
+  upstreamTable_.OnReceived(aFlight.upstream_, host_.Now());
   Stream& stream = *aFlight.stream_;
   stream.head_ = std::move(aHead);
   const int status = stream.head_.status_;
@@ -103,7 +103,7 @@
 {
   Stream& stream = *aFlight.stream_;
   stream.lastProgress_ = host_.Now();
-  board_.OnHeard(aFlight.upstream_, host_.Now());
+  upstreamTable_.OnReceived(aFlight.upstream_, host_.Now());
   if (!stream.begun_) {
     NoteBegun(aFlight, host_.Now());
     host_.Measures().Observe(
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -65,13 +65,13 @@
   : host_(aHost)
   , doors_(aDoors)
   , reader_(aHost.Formats())
-  , board_(ZoneId{ aHost.Settings().zone_ },
-           BoardPolicy{},
-           aHost.Settings().instance_)
-  , forwarder_(aHost, board_)
+  , upstreamTable_(ZoneId{ aHost.Settings().zone_ },
+                   SelectionPolicy{},
+                   aHost.Settings().instance_)
+  , forwarder_(aHost, upstreamTable_)
   , store_(aHost)
   , directory_(aHost, store_)
-  , runner_(aHost, routes_, board_, forwarder_, store_)
+  , runner_(aHost, routes_, upstreamTable_, forwarder_, store_)
   , jobs_(aHost, store_, directory_, runner_)
   , usage_(aHost, forwarder_, runner_)
   , life_(aHost.PlatformStore(),
@@ -165,7 +165,7 @@
       TakeConfig(aEvent.record_);
     }
   };
-  config_.onSettled_ = [this] { runner_.OnBoardChanged(); };
+  config_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
   config_.onVouched_ = [this](Duration aAge) {
     configVouched_ = std::max(configVouched_, host_.Now() - aAge);
     configDoubted_ = false;
@@ -216,13 +216,13 @@
     if (aEvent.deleted_) {
       const UpstreamId id = host_.Formats().UpstreamOf(aEvent.record_.key_);
       LogEvent(LogLevel::Info, "upstream_vanished", { { "id", id.Get() } });
-      board_.OnVanished(id, host_.Now());
+      upstreamTable_.OnRemoved(id, host_.Now());
       forwarder_.Crashes().OnVanished(id);
     } else {
       TakeUpstream(aEvent.record_);
     }
   };
-  upstreams_.onSettled_ = [this] { runner_.OnBoardChanged(); };
+  upstreams_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
   upstreams_.Start(kPlanKnown);
 }
 
@@ -231,11 +231,12 @@
 {
   auto entry = reader_.Read(aRecord);
   if (!entry) {
-    board_.OnVanished(host_.Formats().UpstreamOf(aRecord.key_), host_.Now());
+    upstreamTable_.OnRemoved(host_.Formats().UpstreamOf(aRecord.key_),
+                             host_.Now());
     return;
   }
   const UpstreamId id = entry->id_;
-  const BoardUpstream* known = board_.Find(id);
+  const TrackedUpstream* known = upstreamTable_.Find(id);
   if (known == nullptr || known->entry_.draining_ != entry->draining_) {
     LogEvent(LogLevel::Info,
              "upstream_registered",
@@ -245,7 +246,7 @@
                { "draining", entry->draining_ ? "yes" : "no" } });
   }
   const UpstreamStart start = entry->start_;
-  const EntryEffect effect = board_.OnEntry(*entry);
+  const EntryEffect effect = upstreamTable_.OnEntry(*entry);
   if (effect == EntryEffect::Restarted) {
     OnRestarted(id);
   } else if (effect == EntryEffect::Outdated) {
@@ -266,7 +267,7 @@
            "upstreams_read",
            { { "count", std::to_string(entries.size()) },
              { "revision", std::to_string(aRange.revision_) } });
-  for (const UpstreamId& id : board_.OnList(entries, host_.Now())) {
+  for (const UpstreamId& id : upstreamTable_.OnList(entries, host_.Now())) {
     OnRestarted(id);
   }
   forwarder_.Crashes().OnList(entries);
@@ -294,7 +295,7 @@
   if (stopping_) {
     return "stopping";
   }
-  if (!routes_.Known()) {
+  if (!routes_.HasConfig()) {
     return "no configuration yet";
   }
   if (!upstreamsKnown_) {
@@ -320,7 +321,7 @@
 void
 Gateway::Handle(HttpRequest aRequest, HttpReplyPtr aReply)
 {
-  if (!routes_.Known()) {
+  if (!routes_.HasConfig()) {
     aReply->Send(RefusedResponse("no configuration yet", kComeBack));
     return;
   }
@@ -360,7 +361,7 @@
 std::optional<CustomerId>
 Gateway::Admit(const HttpRequest& aRequest, bool aPublic, HttpReply& aReply)
 {
-  if (!routes_.Keyed()) {
+  if (!routes_.RequiresKeys()) {
     return CustomerId{};
   }
   const GatewaySettings& settings = host_.Settings();
@@ -414,7 +415,7 @@
                       ? std::move(aRequest.path_)
                       : aRequest.path_ + "?" + aRequest.query_;
   request.headers_ = PassedHeaders(aRequest.headers_, names);
-  if (routes_.Keyed()) {
+  if (routes_.RequiresKeys()) {
     SetCustomer(request.headers_, names, aCustomer);
   }
   request.customer_ = aCustomer;
--- a/src/programs/gatewayd/gateway.hpp
+++ b/src/programs/gatewayd/gateway.hpp
@@ -56,7 +56,7 @@
   Doors& doors_;
   RouteTable routes_;
   UpstreamReader reader_;
-  UpstreamBoard board_;
+  UpstreamTable upstreamTable_;
   Forwarder forwarder_;
   JobStore store_;
   JobDirectory directory_;
--- a/src/programs/gatewayd/job_runner.cpp
+++ b/src/programs/gatewayd/job_runner.cpp
@@ -22,12 +22,12 @@
 
 JobRunner::JobRunner(GatewayContext& aHost,
                      const RouteTable& aRoutes,
-                     UpstreamBoard& aBoard,
+                     UpstreamTable& aTable,
                      Forwarder& aForwarder,
                      JobStore& aStore)
   : host_(aHost)
   , routes_(aRoutes)
-  , board_(aBoard)
+  , upstreamTable_(aTable)
   , forwarder_(aForwarder)
   , store_(aStore)
 {
@@ -368,7 +368,8 @@
                            aJob.places_[item.group_],
                            avoided == aJob.avoided_.end() ? UpstreamId{}
                                                           : avoided->second };
-    const BoardUpstream* upstream = board_.PickForItem(needs, host_.Now());
+    const TrackedUpstream* upstream =
+      upstreamTable_.PickForItem(needs, host_.Now());
     if (upstream == nullptr) {
       full.insert(service);
       aJob.avoided_.erase(index);
--- a/src/programs/gatewayd/job_runner.hpp
+++ b/src/programs/gatewayd/job_runner.hpp
@@ -16,7 +16,7 @@
   /// All arguments outlive this.
   JobRunner(GatewayContext& aHost,
             const RouteTable& aRoutes,
-            UpstreamBoard& aBoard,
+            UpstreamTable& aTable,
             Forwarder& aForwarder,
             JobStore& aStore);
 
@@ -42,7 +42,7 @@
   /// The job was ended: nothing more is sent.
   void End(const JobId& aJob);
   /// Upstreams, versions or routes changed.
-  void OnBoardChanged() { Dispatch(); }
+  void OnUpstreamsChanged() { Dispatch(); }
   /// Runs at the upstream's incarnation before are lost; they go on elsewhere.
   void OnUpstreamRestarted(const UpstreamId& aUpstream);
   /// Gives all jobs back; `Idle` holds once that is done.
@@ -168,14 +168,15 @@
   [[nodiscard]] bool DispatchJob(const JobId& aId, OwnedJob& aJob);
   /// @returns another upstream for an item that may have crashed one, if
   /// another such is in progress at the one picked and not at the other
-  [[nodiscard]] const BoardUpstream& Apart(Fingerprint aFingerprint,
-                                           const OwnedJob& aJob,
-                                           const BoardUpstream& aPicked) const;
+  [[nodiscard]] const TrackedUpstream& Apart(
+    Fingerprint aFingerprint,
+    const OwnedJob& aJob,
+    const TrackedUpstream& aPicked) const;
   /// @returns whether the item may run
   [[nodiscard]] bool StartRun(const JobId& aId,
                               OwnedJob& aJob,
                               ItemIndex aItem,
-                              const BoardUpstream& aUpstream);
+                              const TrackedUpstream& aUpstream);
   [[nodiscard]] HttpCall MakeCall(const OwnedJob& aJob,
                                   ItemIndex aItem,
                                   const UpstreamEntry& aUpstream) const;
@@ -237,7 +238,7 @@
 
   GatewayContext& host_;
   const RouteTable& routes_;
-  UpstreamBoard& board_;
+  UpstreamTable& upstreamTable_;
   Forwarder& forwarder_;
   JobStore& store_;
   std::map<JobId, OwnedJob> jobs_;
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -54,7 +54,7 @@
   for (const auto& [name, value] : item.headers_) {
     call.headers_.push_back({ name, value });
   }
-  if (routes_.Keyed() || !aJob.customer_.Get().empty()) {
+  if (routes_.RequiresKeys() || !aJob.customer_.Get().empty()) {
     SetCustomer(call.headers_, names, aJob.customer_);
   }
   call.headers_.push_back({ "Host", aJob.host_ });
@@ -74,23 +74,24 @@
   return call;
 }
 
-const BoardUpstream&
+const TrackedUpstream&
 JobRunner::Apart(Fingerprint aFingerprint,
                  const OwnedJob& aJob,
-                 const BoardUpstream& aPicked) const
+                 const TrackedUpstream& aPicked) const
 {
   const RequestQuarantine& crashes = forwarder_.Crashes();
   if (crashes.IsApart(aFingerprint, aPicked.entry_.id_)) {
     return aPicked;
   }
   const JobSpec& spec = aJob.ledger_.Spec();
-  const BoardUpstream* other = board_.PickForItem({ aPicked.entry_.service_,
-                                                    spec.model_,
-                                                    spec.minVersion_,
-                                                    {},
-                                                    aPicked.entry_.id_ },
-                                                  host_.Now());
-  const bool better = other != nullptr && other->vanished_ == kNever &&
+  const TrackedUpstream* other =
+    upstreamTable_.PickForItem({ aPicked.entry_.service_,
+                                 spec.model_,
+                                 spec.minVersion_,
+                                 {},
+                                 aPicked.entry_.id_ },
+                               host_.Now());
+  const bool better = other != nullptr && other->removedAt_ == kNever &&
                       crashes.IsApart(aFingerprint, other->entry_.id_);
   return better ? *other : aPicked;
 }
@@ -99,7 +100,7 @@
 JobRunner::StartRun(const JobId& aId,
                     OwnedJob& aJob,
                     ItemIndex aItem,
-                    const BoardUpstream& aUpstream)
+                    const TrackedUpstream& aUpstream)
 {
   const JobItem& item = aJob.ledger_.Spec().items_[aItem];
   const Fingerprint fingerprint =
@@ -108,7 +109,7 @@
     // It waits; others of its job go on.
     return false;
   }
-  const BoardUpstream& upstream = Apart(fingerprint, aJob, aUpstream);
+  const TrackedUpstream& upstream = Apart(fingerprint, aJob, aUpstream);
   const RunId id = ++lastRun_;
   Run& run = runs_[id];
   run.fingerprint_ = fingerprint;
@@ -135,7 +136,7 @@
     return OnData(id, aData);
   };
   aJob.ledger_.OnStarted(aItem);
-  board_.OnStart(run.upstream_, host_.Now());
+  upstreamTable_.OnStart(run.upstream_, host_.Now());
   forwarder_.Crashes().OnSent(fingerprint, run.upstream_);
   run.call_ =
     host_.Client().Send(std::move(call), [this, id](const HttpResult& aResult) {
@@ -153,7 +154,7 @@
     return false;
   }
   Run& run = it->second;
-  board_.OnHeard(run.upstream_, host_.Now());
+  upstreamTable_.OnReceived(run.upstream_, host_.Now());
   const WireNames& names = host_.Formats().Names();
   const JobItem& item = jobs_.at(run.job_).ledger_.Spec().items_[run.item_];
   const auto echo = FindHeader(aHeaders, names.attempt_);
@@ -210,11 +211,12 @@
     return false;
   }
   const TimePoint now = host_.Now();
-  board_.OnHeard(aRun.upstream_, now);
+  upstreamTable_.OnReceived(aRun.upstream_, now);
   if (aRun.events_++ > 0) {
-    board_.OnPace(aRun.upstream_, now - aRun.lastProgress_);
+    upstreamTable_.OnPace(aRun.upstream_, now - aRun.lastProgress_);
   } else {
-    board_.OnVersion(aRun.upstream_, job.ledger_.Spec().model_, aRun.version_);
+    upstreamTable_.OnVersion(
+      aRun.upstream_, job.ledger_.Spec().model_, aRun.version_);
   }
   aRun.lastProgress_ = now;
   return true;
@@ -254,7 +256,7 @@
                                       : CallEnd::Other);
   if (whole && aRun.status_ == 200 && !aRun.parser_.Partial() &&
       aRun.events_ > 0) {
-    board_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
+    upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     host_.Measures().Count("runs_whole_total");
     aJob.ledger_.OnWhole(aRun.item_, now);
     LogEvent(LogLevel::Debug,
@@ -269,7 +271,7 @@
   }
   if (whole && aRun.status_ == 200 && !aRun.parser_.Partial()) {
     const bool none = aJob.ledger_.Text(aRun.item_).lastEvent_ == 0;
-    board_.OnEnd(
+    upstreamTable_.OnEnd(
       aRun.upstream_, none ? CallVerdict::Failed : CallVerdict::Answered, now);
     aJob.ledger_.OnNothingLeft(aRun.item_, now);
     aJob.avoided_[aRun.item_] = aRun.upstream_;
@@ -293,18 +295,18 @@
              { "first_on_connection", aResult.opened_ ? "yes" : "no" } });
   if (whole && (aRun.notRun_ || aRun.status_ == 421)) {
     if (aRun.status_ == 421) {
-      board_.OnReplaced(aRun.upstream_, now);
+      upstreamTable_.OnReplaced(aRun.upstream_, now);
     }
-    board_.OnEnd(aRun.upstream_, CallVerdict::Loading, now);
+    upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Loading, now);
     aJob.ledger_.OnInterrupted(aRun.item_);
   } else if (whole && aRun.status_ == 500) {
-    board_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
+    upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     aJob.ledger_.OnRunFailed(aRun.item_, now);
   } else if (whole && aRun.status_ == 422) {
-    board_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
+    upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     aJob.ledger_.OnImpossible(aRun.item_, now);
   } else {
-    board_.OnEnd(aRun.upstream_, CallVerdict::Failed, now);
+    upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Failed, now);
     aJob.ledger_.OnInterrupted(aRun.item_);
     aJob.avoided_[aRun.item_] = aRun.upstream_;
   }
@@ -321,7 +323,7 @@
   OwnedJob& job = jobs_.at(run.job_);
   job.runs_.erase(run.item_);
   job.ledger_.OnInterrupted(run.item_);
-  board_.OnEnd(run.upstream_, aVerdict, host_.Now());
+  upstreamTable_.OnEnd(run.upstream_, aVerdict, host_.Now());
   forwarder_.Crashes().OnEnd(run.fingerprint_, run.upstream_, aEnd);
   host_.Client().Cancel(run.call_);
 }
@@ -332,7 +334,7 @@
   std::vector<RunId> lost;
   for (const auto& [id, run] : runs_) {
     if (run.upstream_ == aUpstream &&
-        host_.Now() - run.lastProgress_ >= Duration{ kRestartSilence }) {
+        host_.Now() - run.lastProgress_ >= Duration{ kRestartIdleTime }) {
       lost.push_back(id);
     }
   }
@@ -379,7 +381,7 @@
 bool
 JobRunner::Stalled(const Run& aRun) const
 {
-  const BoardUpstream* upstream = board_.Find(aRun.upstream_);
+  const TrackedUpstream* upstream = upstreamTable_.Find(aRun.upstream_);
   if (upstream == nullptr || aRun.events_ == 0) {
     return false;
   }
@@ -391,16 +393,17 @@
 bool
 JobRunner::Ignored(const Run& aRun) const
 {
-  const BoardUpstream* upstream = board_.Find(aRun.upstream_);
+  const TrackedUpstream* upstream = upstreamTable_.Find(aRun.upstream_);
   return upstream != nullptr && aRun.events_ == 0 &&
          host_.Now() - aRun.lastProgress_ > Duration{ kQuietSilence } &&
-         board_.Quiet(*upstream, host_.Now());
+         upstreamTable_.Unresponsive(*upstream, host_.Now());
 }
 
 bool
 JobRunner::ShouldMove(const Run& aRun) const
 {
-  if (!board_.Slow(aRun.upstream_) && !Stalled(aRun) && !Ignored(aRun)) {
+  if (!upstreamTable_.Slow(aRun.upstream_) && !Stalled(aRun) &&
+      !Ignored(aRun)) {
     return false;
   }
   const OwnedJob& job = jobs_.at(aRun.job_);
@@ -409,20 +412,21 @@
   if (route == nullptr) {
     return false;
   }
-  const BoardUpstream* self = board_.Find(aRun.upstream_);
-  const BoardUpstream* other = board_.PickForItem({ self->entry_.service_,
-                                                    spec.model_,
-                                                    spec.minVersion_,
-                                                    {},
-                                                    aRun.upstream_ },
-                                                  host_.Now());
-  if (other == nullptr || board_.Slow(other->entry_.id_) ||
-      board_.Quiet(*other, host_.Now())) {
+  const TrackedUpstream* self = upstreamTable_.Find(aRun.upstream_);
+  const TrackedUpstream* other =
+    upstreamTable_.PickForItem({ self->entry_.service_,
+                                 spec.model_,
+                                 spec.minVersion_,
+                                 {},
+                                 aRun.upstream_ },
+                               host_.Now());
+  if (other == nullptr || upstreamTable_.Slow(other->entry_.id_) ||
+      upstreamTable_.Unresponsive(*other, host_.Now())) {
     return false;
   }
   // A run that was ignored needs proof that the other is better: it was heard
   // while this one waited.
-  return !Ignored(aRun) || other->heard_ > aRun.lastProgress_;
+  return !Ignored(aRun) || other->lastReceivedAt_ > aRun.lastProgress_;
 }
 
 void
--- a/src/programs/load/router_policy.cpp
+++ b/src/programs/load/router_policy.cpp
@@ -65,7 +65,7 @@
               const RequestSpec& aRequest,
               TimePoint aNow) override
   {
-    AttemptDone done;
+    AttemptResult done;
     done.end_ =
       aAttempt.result_.whole_ ? AttemptEnd::Whole : AttemptEnd::MaybeRun;
     done.timedOut_ = aAttempt.cancelled_;
@@ -121,8 +121,8 @@
 MakeHerding(std::size_t aEngines, std::uint64_t aSeed)
 {
   RouterTuning tuning;
-  tuning.choices_ = Choices;
-  tuning.blur_ = Blur ? tuning.blur_ : 0;
+  tuning.candidates_ = Choices;
+  tuning.costJitter_ = Blur ? tuning.costJitter_ : 0;
   tuning.correctReports_ = Correct;
   return std::make_unique<RouterPolicy>(aEngines, aSeed, tuning);
 }
@@ -147,8 +147,8 @@
     { "ours-uncorrected", MakeVariant<&RouterTuning::correctReports_, false> },
     { "ours-no-prefix", MakeVariant<&RouterTuning::prefixHints_, false> },
     { "ours-fixed-limit", MakeVariant<&RouterTuning::adaptiveLimit_, false> },
-    { "ours-4-choices", MakeVariant<&RouterTuning::choices_, kFour> },
-    { "ours-all-choices", MakeVariant<&RouterTuning::choices_, kAll> },
+    { "ours-4-choices", MakeVariant<&RouterTuning::candidates_, kFour> },
+    { "ours-all-choices", MakeVariant<&RouterTuning::candidates_, kAll> },
   };
   return variants;
 }
--- a/src/programs/orderd/order_duty.hpp
+++ b/src/programs/orderd/order_duty.hpp
@@ -6,9 +6,9 @@
 #include "daemon/prefix_follower.hpp"
 #include "daemon/upstream_reader.hpp"
 #include "marjoramtally/process/supply_plan.hpp"
+#include "marjoramtally/process/time_share_limiter.hpp"
 #include "marjoramtally/process/usage_meter.hpp"
 #include "marjoramtally/process/weight_plan.hpp"
-#include "marjoramtally/process/work_pace.hpp"
 #include "programs/orderd/duty_lease.hpp"
 
 namespace marjoramtally {
@@ -137,7 +137,7 @@
   std::map<UpstreamId, Target> targets_;
   /// What a plan is made of has changed since the last one.
   bool planDue_ = true;
-  WorkPace planPace_{ kPlanShare };
+  TimeShareLimiter planLimiter_{ kPlanShare };
   LoopTimerId planTimer_ = 0;
   std::set<std::string> retired_;
 };
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -56,8 +56,8 @@
     return;
   }
   const TimePoint begun = host_.Now();
-  if (begun < planPace_.NextAt()) {
-    PlanLater(planPace_.NextAt() - begun);
+  if (begun < planLimiter_.NextAt()) {
+    PlanLater(planLimiter_.NextAt() - begun);
     return;
   }
   planDue_ = false;
@@ -77,7 +77,7 @@
   }
   const std::vector<PlannedLoad> loads = plan_.Next(upstreams);
   const TimePoint ended = host_.Now();
-  planPace_.OnDone(begun, ended);
+  planLimiter_.OnDone(begun, ended);
   TellPlanTime(upstreams.size(), loads.size(), ended - begun);
   plan_.OnOrdered(ended);
   host_.Measures().Set("loads_at_once", plan_.LoadsAtOnce());
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -194,7 +194,7 @@
                              &relays_,
                              &peers_,
                              "self~1" } };
-  UpstreamBoard board_{ ZoneId{ "z1" } };
+  UpstreamTable upstreamTable_{ ZoneId{ "z1" } };
 
   /// The time of day runs with the paused clock; what is told to have been
   /// accepted at its beginning is a day old.
@@ -211,7 +211,7 @@
     entry.zone_ = ZoneId{ "z1" };
     entry.slots_ = 4;
     entry.models_ = { { "m", WeightVersion{ aVersion } } };
-    board_.OnEntry(std::move(entry));
+    upstreamTable_.OnEntry(std::move(entry));
   }
 
   /// An answer as an upstream gives it to a call.
--- a/tests/gateway_site.hpp
+++ b/tests/gateway_site.hpp
@@ -30,12 +30,12 @@
   RelayPlan relays_;
   Metrics metrics_;
   GatewayContext host_;
-  UpstreamBoard board_{ ZoneId{ "z1" } };
+  UpstreamTable upstreamTable_{ ZoneId{ "z1" } };
   RouteTable routes_;
-  Forwarder forwarder_{ host_, board_ };
+  Forwarder forwarder_{ host_, upstreamTable_ };
   JobStore store_{ host_ };
   JobDirectory directory_{ host_, store_ };
-  JobRunner runner_{ host_, routes_, board_, forwarder_, store_ };
+  JobRunner runner_{ host_, routes_, upstreamTable_, forwarder_, store_ };
   JobApi jobs_{ host_, store_, directory_, runner_ };
 
   Site(GatewayFakes& aFakes, Store& aStore, const std::string& aIncarnation)
--- a/tests/job_fixture.hpp
+++ b/tests/job_fixture.hpp
@@ -22,9 +22,9 @@
 struct JobFixture : GatewayFakes
 {
   RouteTable routes_;
-  Forwarder forwarder_{ context_, board_ };
+  Forwarder forwarder_{ context_, upstreamTable_ };
   JobStore jobs_{ context_ };
-  JobRunner runner_{ context_, routes_, board_, forwarder_, jobs_ };
+  JobRunner runner_{ context_, routes_, upstreamTable_, forwarder_, jobs_ };
   FencingNumber fence_;
   JobSubmissionRecord submission_{ "h", "/i/job", "body" };
 
--- a/tests/job_play.cpp
+++ b/tests/job_play.cpp
@@ -52,7 +52,7 @@
     entry.models_ = { { "m0", WeightVersion{ 5 } },
                       { "m1", WeightVersion{ 5 } },
                       { "m2", WeightVersion{ 5 } } };
-    site_.board_.OnEntry(std::move(entry));
+    site_.upstreamTable_.OnEntry(std::move(entry));
   }
 }
 
--- a/tests/rollout_play.cpp
+++ b/tests/rollout_play.cpp
@@ -58,7 +58,7 @@
     entry.models_.push_back({ model, version });
   }
   for (Trainer& trainer : trainers_) {
-    trainer.board_.OnEntry(entry);
+    trainer.upstreamTable_.OnEntry(entry);
   }
 }
 
@@ -109,7 +109,7 @@
   }
   Step& step = *aTrainer.open_;
   for (const ItemIndex index : step.ledger_.Waiting(now_)) {
-    const BoardUpstream* picked = aTrainer.board_.PickForItem(
+    const TrackedUpstream* picked = aTrainer.upstreamTable_.PickForItem(
       { kService, aTrainer.model_, least, {}, {} }, now_);
     if (picked == nullptr) {
       return;
@@ -118,7 +118,7 @@
     step.ledger_.OnStarted(index);
     item->upstream_ =
       static_cast<std::size_t>(std::stoul(picked->entry_.id_.Get().substr(1)));
-    aTrainer.board_.OnStart(picked->entry_.id_, now_);
+    aTrainer.upstreamTable_.OnStart(picked->entry_.id_, now_);
     upstreams_[item->upstream_].queue_.push_back(item);
   }
 }
@@ -148,7 +148,7 @@
     if (trainer.model_ == upstream.loading_) {
       continue;
     }
-    trainer.board_.OnHeard(upstream.entry_.id_, now_);
+    trainer.upstreamTable_.OnReceived(upstream.entry_.id_, now_);
     item->left_ -= events;
     if (item->left_ <= 0) {
       done.push_back(item);
@@ -156,7 +156,7 @@
   }
   for (Item* item : done) {
     std::erase(upstream.running_, item);
-    trainers_[item->trainer_].board_.OnEnd(
+    trainers_[item->trainer_].upstreamTable_.OnEnd(
       upstream.entry_.id_, CallVerdict::Answered, now_);
     Finish(*item);
   }
@@ -198,7 +198,7 @@
     const auto ended = [&](const Item* aItem) {
       const bool ours = &trainers_[aItem->trainer_] == &aTrainer;
       if (ours) {
-        aTrainer.board_.OnEnd(
+        aTrainer.upstreamTable_.OnEnd(
           upstream.entry_.id_, CallVerdict::Abandoned, now_);
       }
       return ours;
--- a/tests/rollout_play.hpp
+++ b/tests/rollout_play.hpp
@@ -1,5 +1,5 @@
 /// Plays training steps on a fleet in simulated time: the real plan of weights,
-/// a real ledger for each step and a real board for its owner, on upstreams
+/// a real ledger for each step and a real table for its owner, on upstreams
 /// that share their slots, slow down as they fill and stand still while weights
 /// change.
 #pragma once
@@ -92,7 +92,7 @@
     std::uint64_t step_ = 0;
     TimePoint next_{ kTick };
     std::optional<Step> open_;
-    UpstreamBoard board_{ ZoneId{ "z0" } };
+    UpstreamTable upstreamTable_{ ZoneId{ "z0" } };
   };
   struct Upstream
   {
--- a/tests/test_forward_streams.cpp
+++ b/tests/test_forward_streams.cpp
@@ -19,7 +19,7 @@
 
 struct Fixture : GatewayFakes
 {
-  Forwarder forwarder_{ context_, board_ };
+  Forwarder forwarder_{ context_, upstreamTable_ };
   std::shared_ptr<FakeReply> reply_ = std::make_shared<FakeReply>();
   std::optional<ForwardOutcome> outcome_;
   HttpHeaders extra_;
--- a/tests/test_forwarder.cpp
+++ b/tests/test_forwarder.cpp
@@ -13,7 +13,7 @@
 
 struct Fixture : GatewayFakes
 {
-  Forwarder forwarder_{ context_, board_ };
+  Forwarder forwarder_{ context_, upstreamTable_ };
   std::optional<ForwardOutcome> outcome_;
 
   Fixture()
@@ -272,7 +272,7 @@
   REQUIRE(fix.timers_.size() == 0);
   fix.timers_.Advance(10s);
   REQUIRE_FALSE(fix.outcome_);
-  REQUIRE(fix.board_.Find(UpstreamId{ "a" })->inFlight_ == 0);
+  REQUIRE(fix.upstreamTable_.Find(UpstreamId{ "a" })->inFlight_ == 0);
 }
 
 TEST_CASE("an address that another incarnation took is left alone")
@@ -283,9 +283,8 @@
   fix.outcome_.reset();
   const SentCall second = fix.Take();
   REQUIRE(second.call_.url_.starts_with("http://b:1"));
-  REQUIRE(
-    fix.board_.Pick(ServiceId{ "svc" }, {}, fix.clock_.Now())->entry_.id_ ==
-    UpstreamId{ "b" });
+  REQUIRE(fix.upstreamTable_.Pick(ServiceId{ "svc" }, {}, fix.clock_.Now())
+            ->entry_.id_ == UpstreamId{ "b" });
 }
 
 TEST_CASE("headers of one connection and those set here are not passed on")
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -16,10 +16,10 @@
 struct Fixture : GatewayFakes
 {
   RouteTable routes_;
-  Forwarder forwarder_{ context_, board_ };
+  Forwarder forwarder_{ context_, upstreamTable_ };
   JobStore store_{ context_ };
   JobDirectory directory_{ context_, store_ };
-  JobRunner runner_{ context_, routes_, board_, forwarder_, store_ };
+  JobRunner runner_{ context_, routes_, upstreamTable_, forwarder_, store_ };
   JobApi jobs_{ context_, store_, directory_, runner_ };
 
   Fixture()
--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -64,8 +64,8 @@
     return ReadOwnerRecord(record.value_).value().owner_;
   }
 
-  /// Gives a board an upstream that holds the model.
-  void AddTo(UpstreamBoard& aBoard) const
+  /// Gives a table an upstream that holds the model.
+  void AddTo(UpstreamTable& aTable) const
   {
     UpstreamEntry entry;
     entry.id_ = UpstreamId{ "e0" };
@@ -74,7 +74,7 @@
     entry.zone_ = ZoneId{ "z1" };
     entry.slots_ = 4;
     entry.models_ = { { model_, WeightVersion{ 5 } } };
-    aBoard.OnEntry(std::move(entry));
+    aTable.OnEntry(std::move(entry));
   }
 
   /// The second process's only item is whole.
@@ -262,7 +262,7 @@
 TEST_CASE("a read at another process is answered as soon as a result is listed")
 {
   Pair pair;
-  pair.AddTo(pair.second_.board_);
+  pair.AddTo(pair.second_.upstreamTable_);
   REQUIRE(pair.Submit("j1")->status_ == 202);
   pair.timers_.Advance(1s);
   const auto reply = pair.ReadFirst("j1", 1000);
--- a/tests/test_job_routes.cpp
+++ b/tests/test_job_routes.cpp
@@ -27,7 +27,7 @@
   REQUIRE(fix.runner_.Find(kJob)->State(0) == ItemState::Waiting);
 
   fix.routes_.Apply(JobFixture::Config(24));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   for (int i = 0; i < 2; ++i) {
     fix.CompleteItem();
     fix.CompleteScore();
@@ -43,7 +43,7 @@
   fix.Accept(1);
   constexpr std::uint32_t kAttempts = 6;
   fix.routes_.Apply(JobFixture::Config(24, kAttempts));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   for (std::uint32_t i = 1; i < kAttempts; ++i) {
     const SentCall call = fix.Call();
     fix.client_.Answer(call, fix.Answer(call, 500, ""));
@@ -62,7 +62,7 @@
   JobFixture fix;
   fix.Accept(1);
   fix.routes_.Apply(JobFixture::Config(2, 4));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   for (int i = 0; i < 3; ++i) {
     const SentCall call = fix.Call();
     fix.client_.Answer(call, fix.Answer(call, 500, ""));
@@ -86,7 +86,7 @@
   REQUIRE(fix.runner_.Find(kJob)->State(0) == ItemState::Waiting);
 
   fix.routes_.Apply(JobFixture::Config(3));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   REQUIRE(fix.runner_.Find(kJob)->State(0) == ItemState::Running);
 }
 
@@ -97,7 +97,7 @@
   fix.timers_.Advance(120s);
   REQUIRE(fix.Stored().empty());
   fix.routes_.Apply(JobFixture::Config(1));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   fix.timers_.Advance(1s);
   REQUIRE(fix.Stored().size() == 1);
 }
@@ -121,7 +121,7 @@
   RoutingConfig single = JobFixture::Config(1);
   single.routes_.front().singleVersion_ = true;
   fix.routes_.Apply(single);
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   REQUIRE(fix.Call().call_.url_ == "http://e0:1/i/0");
   REQUIRE(fix.Header(fix.Call(), fix.platform_->Names().lastEvent_).empty());
 }
@@ -188,7 +188,7 @@
   config.revision_ = ConfigRevision{ 2 };
   config.routes_.pop_back();
   fix.routes_.Apply(config);
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   fix.timers_.Advance(4s);
   REQUIRE(fix.Stored().empty());
 }
@@ -279,7 +279,7 @@
                   {});
   REQUIRE(fix.client_.sent_ == 0);
   fix.routes_.Apply(JobFixture::Config(1));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   fix.CompleteScore();
   fix.timers_.Advance(3s);
   REQUIRE(fix.Stored().size() == 1);
@@ -291,7 +291,7 @@
   JobFixture fix(2, false);
   fix.Accept(1);
   fix.routes_.Apply(JobFixture::Config(1));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   // 40 s of the route and 6 s for clocks that differ.
   REQUIRE(fix.Header(fix.Call(), fix.platform_->Names().deadline_) == "46000");
   fix.timers_.Advance(45s);
@@ -309,7 +309,7 @@
   fix.routes_.Apply(without);
   fix.client_.Fail(fix.Call(), HttpEnd::Broken);
   fix.routes_.Apply(JobFixture::Config(3));
-  fix.runner_.OnBoardChanged();
+  fix.runner_.OnUpstreamsChanged();
   const JobLedger& ledger = *fix.runner_.Find(kJob);
   REQUIRE(ledger.ErrorOf(0) == "its route was removed");
   REQUIRE(ledger.DecidedUnder(0) == ConfigRevision{ 2 });
--- a/tests/test_request_quarantine.cpp
+++ b/tests/test_request_quarantine.cpp
@@ -34,7 +34,7 @@
                           &relays_,
                           &linked_,
                           "self~1" } };
-  Forwarder forwarder_{ host_, board_ };
+  Forwarder forwarder_{ host_, upstreamTable_ };
   std::vector<ForwardOutcome> outcomes_;
   int crashes_ = 0;
 
@@ -49,12 +49,13 @@
   void Boot(const std::string& aId, const std::string& aService)
   {
     AddUpstream(aId, aService, 5);
-    forwarder_.Crashes().OnEntry(board_.Find(UpstreamId{ aId })->entry_);
+    forwarder_.Crashes().OnEntry(
+      upstreamTable_.Find(UpstreamId{ aId })->entry_);
   }
 
   void Vanish(const std::string& aId)
   {
-    board_.OnVanished(UpstreamId{ aId }, host_.Now());
+    upstreamTable_.OnRemoved(UpstreamId{ aId }, host_.Now());
     forwarder_.Crashes().OnVanished(UpstreamId{ aId });
   }
 
@@ -123,7 +124,7 @@
 {
   RouteTable routes_;
   JobStore jobs_{ host_ };
-  JobRunner runner_{ host_, routes_, board_, forwarder_, jobs_ };
+  JobRunner runner_{ host_, routes_, upstreamTable_, forwarder_, jobs_ };
 
   explicit JobSite(int aUpstreams)
     : Site(0)
@@ -188,7 +189,7 @@
   {
     for (Duration passed{}; passed < aTime; passed += 100ms) {
       timers_.Advance(100ms);
-      runner_.OnBoardChanged();
+      runner_.OnUpstreamsChanged();
       ServeItems();
     }
   }
@@ -240,7 +241,7 @@
       const std::string id = std::to_string(++event);
       REQUIRE(call.call_.onData_("id: " + id + "\ndata: a\n\n"));
       site.timers_.Advance(100ms);
-      site.runner_.OnBoardChanged();
+      site.runner_.OnUpstreamsChanged();
     }
     site.Die(JobSite::PlaceOf(call));
   }
@@ -367,7 +368,7 @@
     site.client_.Fail(call, HttpEnd::Broken);
   }
   site.timers_.Advance(3500ms);
-  site.runner_.OnBoardChanged();
+  site.runner_.OnUpstreamsChanged();
   REQUIRE(site.client_.open_.size() == 6);
 }
 
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -12,9 +12,9 @@
 
 /// Routing of one service with a paused clock. Each upstream answers as fast
 /// as the test says.
-struct Bed
+struct RouterFixture
 {
-  explicit Bed(std::size_t aUpstreams, RouterTuning aTuning = {})
+  explicit RouterFixture(std::size_t aUpstreams, RouterTuning aTuning = {})
     : router_(ZoneId{ "z" }, 1, aTuning)
   {
     for (std::size_t i = 0; i < aUpstreams; ++i) {
@@ -62,7 +62,7 @@
 
   void Done(const UpstreamId& aId, TimePoint aSentAt, AttemptEnd aEnd)
   {
-    AttemptDone done;
+    AttemptResult done;
     done.end_ = aEnd;
     done.sentAt_ = aSentAt;
     done.tokens_ = kTokens;
@@ -100,101 +100,101 @@
 
 TEST_CASE("only upstreams of a fresh enough version are eligible")
 {
-  Bed bed(8);
-  bed.spec_.model_ = "m";
-  bed.spec_.minVersion_ = WeightVersion{ 7 };
-  CHECK_FALSE(bed.Pick());
-  bed.models_["m"] = WeightVersion{ 6 };
+  RouterFixture fixture(8);
+  fixture.spec_.model_ = "m";
+  fixture.spec_.minVersion_ = WeightVersion{ 7 };
+  CHECK_FALSE(fixture.Pick());
+  fixture.models_["m"] = WeightVersion{ 6 };
   for (std::size_t i = 0; i < 8; ++i) {
-    bed.Report(i, 0);
+    fixture.Report(i, 0);
   }
-  CHECK_FALSE(bed.Pick());
-  bed.models_["m"] = WeightVersion{ 8 };
-  bed.Report(5, 30);
+  CHECK_FALSE(fixture.Pick());
+  fixture.models_["m"] = WeightVersion{ 8 };
+  fixture.Report(5, 30);
   for (int i = 0; i < 50; ++i) {
-    REQUIRE(bed.Pick());
-    CHECK(bed.Pick()->id_ == Bed::Id(5));
+    REQUIRE(fixture.Pick());
+    CHECK(fixture.Pick()->id_ == RouterFixture::Id(5));
   }
-  bed.models_["m"] = WeightVersion{ 6 };
-  bed.Report(5, 0);
-  CHECK_FALSE(bed.Pick());
+  fixture.models_["m"] = WeightVersion{ 6 };
+  fixture.Report(5, 0);
+  CHECK_FALSE(fixture.Pick());
 }
 
 TEST_CASE("a leaving mark is not undone by a stale list or report")
 {
-  Bed bed(1);
-  REQUIRE(bed.Pick());
+  RouterFixture fixture(1);
+  REQUIRE(fixture.Pick());
   SECTION("marked by a peer")
   {
-    bed.router_.MarkLeaving(Bed::Id(0), bed.now_);
+    fixture.router_.MarkLeaving(RouterFixture::Id(0), fixture.now_);
   }
   SECTION("marked by a list")
   {
-    bed.views_[0].leaving_ = true;
-    bed.Apply();
-    bed.views_[0].leaving_ = false;
+    fixture.views_[0].leaving_ = true;
+    fixture.Apply();
+    fixture.views_[0].leaving_ = false;
   }
   SECTION("marked by its own report")
   {
     UpstreamReport report;
     report.leaving_ = true;
-    bed.router_.OnReport(Bed::Id(0), report, bed.now_);
+    fixture.router_.OnReport(RouterFixture::Id(0), report, fixture.now_);
   }
-  CHECK_FALSE(bed.Pick());
-  bed.Apply();
-  bed.Report(0, 0);
-  CHECK_FALSE(bed.Pick());
-  const auto views = bed.views_;
-  bed.views_.clear();
-  bed.Apply();
-  bed.views_ = views;
-  bed.Apply();
-  CHECK_FALSE(bed.Pick());
-  bed.views_[0].incarnation_ = 2;
-  bed.Apply();
-  CHECK(bed.Pick());
+  CHECK_FALSE(fixture.Pick());
+  fixture.Apply();
+  fixture.Report(0, 0);
+  CHECK_FALSE(fixture.Pick());
+  const auto views = fixture.views_;
+  fixture.views_.clear();
+  fixture.Apply();
+  fixture.views_ = views;
+  fixture.Apply();
+  CHECK_FALSE(fixture.Pick());
+  fixture.views_[0].incarnation_ = 2;
+  fixture.Apply();
+  CHECK(fixture.Pick());
 }
 
 TEST_CASE("operators drain an upstream and put it back")
 {
-  Bed bed(1);
-  bed.views_[0].drained_ = true;
-  bed.Apply();
-  bed.Report(0, 0);
-  CHECK_FALSE(bed.Pick());
-  bed.views_[0].drained_ = false;
-  bed.Apply();
-  CHECK(bed.Pick());
+  RouterFixture fixture(1);
+  fixture.views_[0].drained_ = true;
+  fixture.Apply();
+  fixture.Report(0, 0);
+  CHECK_FALSE(fixture.Pick());
+  fixture.views_[0].drained_ = false;
+  fixture.Apply();
+  CHECK(fixture.Pick());
   // What it says itself still holds for good.
-  bed.router_.MarkLeaving(Bed::Id(0), bed.now_);
-  bed.Apply();
-  CHECK_FALSE(bed.Pick());
+  fixture.router_.MarkLeaving(RouterFixture::Id(0), fixture.now_);
+  fixture.Apply();
+  CHECK_FALSE(fixture.Pick());
 }
 
 TEST_CASE("limits of rules bind each upstream")
 {
-  Bed bed(1);
-  bed.views_[0].limit_ = 2;
-  bed.Apply();
-  const TimePoint sentAt = bed.now_;
-  CHECK(bed.Send());
-  CHECK(bed.Send());
-  CHECK_FALSE(bed.Send());
-  bed.Done(Bed::Id(0), sentAt, AttemptEnd::Whole);
-  CHECK(bed.Send());
+  RouterFixture fixture(1);
+  fixture.views_[0].limit_ = 2;
+  fixture.Apply();
+  const TimePoint sentAt = fixture.now_;
+  CHECK(fixture.Send());
+  CHECK(fixture.Send());
+  CHECK_FALSE(fixture.Send());
+  fixture.Done(RouterFixture::Id(0), sentAt, AttemptEnd::Whole);
+  CHECK(fixture.Send());
 }
 
 TEST_CASE("what was sent since a late report counts: no herd on the idlest")
 {
-  Bed bed(3);
-  bed.Report(0, 0, seconds(1));
-  bed.Report(1, 20, seconds(1));
-  bed.Report(2, 20, seconds(1));
+  RouterFixture fixture(3);
+  fixture.Report(0, 0, seconds(1));
+  fixture.Report(1, 20, seconds(1));
+  fixture.Report(2, 20, seconds(1));
   std::size_t idlest = 0;
   for (int i = 0; i < 60; ++i) {
-    const UpstreamPtr picked = bed.Send();
+    const UpstreamPtr picked = fixture.Send();
     REQUIRE(picked);
-    idlest += picked->id_ == Bed::Id(0) ? 1 : 0;
+    idlest += picked->id_ == RouterFixture::Id(0) ? 1 : 0;
   }
   CHECK(idlest > 20);
   CHECK(idlest < 45);
@@ -221,33 +221,33 @@
 
 TEST_CASE("a slow upstream of nine loses its work and gets it back when well")
 {
-  Bed bed(9);
-  const UpstreamId slow = Bed::Id(4);
-  static_cast<void>(bed.Serve(400, slow, milliseconds(10)));
-  static_cast<void>(bed.Serve(200, slow, milliseconds(100)));
-  const std::size_t share = bed.Serve(1000, slow, milliseconds(100));
+  RouterFixture fixture(9);
+  const UpstreamId slow = RouterFixture::Id(4);
+  static_cast<void>(fixture.Serve(400, slow, milliseconds(10)));
+  static_cast<void>(fixture.Serve(200, slow, milliseconds(100)));
+  const std::size_t share = fixture.Serve(1000, slow, milliseconds(100));
   CHECK(share < 20);
-  bed.now_ = bed.now_ + seconds(60);
-  static_cast<void>(bed.Serve(3000, slow, milliseconds(10)));
-  bed.now_ = bed.now_ + seconds(60);
-  CHECK(bed.Serve(1000, slow, milliseconds(10)) > 40);
+  fixture.now_ = fixture.now_ + seconds(60);
+  static_cast<void>(fixture.Serve(3000, slow, milliseconds(10)));
+  fixture.now_ = fixture.now_ + seconds(60);
+  CHECK(fixture.Serve(1000, slow, milliseconds(10)) > 40);
 }
 
 TEST_CASE("an upstream that stops answering loses its work without an answer")
 {
-  Bed bed(3);
-  static_cast<void>(bed.Serve(100, Bed::Id(0), milliseconds(10)));
+  RouterFixture fixture(3);
+  static_cast<void>(fixture.Serve(100, RouterFixture::Id(0), milliseconds(10)));
   std::size_t stuck = 0;
   std::vector<TimePoint> held;
   for (int i = 0; i < 300; ++i) {
-    const TimePoint sentAt = bed.now_;
-    const UpstreamPtr picked = bed.Send();
+    const TimePoint sentAt = fixture.now_;
+    const UpstreamPtr picked = fixture.Send();
     REQUIRE(picked);
-    bed.now_ = bed.now_ + milliseconds(10);
-    if (picked->id_ == Bed::Id(0)) {
+    fixture.now_ = fixture.now_ + milliseconds(10);
+    if (picked->id_ == RouterFixture::Id(0)) {
       ++stuck;
     } else {
-      bed.Done(picked->id_, sentAt, AttemptEnd::Whole);
+      fixture.Done(picked->id_, sentAt, AttemptEnd::Whole);
     }
   }
   CHECK(stuck < 15);
@@ -256,20 +256,20 @@
 TEST_CASE("a crash mid-flight: the retry goes elsewhere, then the upstream is "
           "ejected")
 {
-  Bed bed(2);
-  const TimePoint sentAt = bed.now_;
-  const UpstreamPtr first = bed.Send();
+  RouterFixture fixture(2);
+  const TimePoint sentAt = fixture.now_;
+  const UpstreamPtr first = fixture.Send();
   REQUIRE(first);
-  bed.Done(first->id_, sentAt, AttemptEnd::MaybeRun);
-  bed.tried_.push_back(first->id_);
-  const UpstreamPtr second = bed.Send();
+  fixture.Done(first->id_, sentAt, AttemptEnd::MaybeRun);
+  fixture.tried_.push_back(first->id_);
+  const UpstreamPtr second = fixture.Send();
   REQUIRE(second);
   CHECK(second->id_ != first->id_);
-  bed.router_.OnSent(first->id_, bed.spec_, bed.now_);
-  bed.Done(first->id_, sentAt, AttemptEnd::NotRun);
-  bed.tried_.clear();
+  fixture.router_.OnSent(first->id_, fixture.spec_, fixture.now_);
+  fixture.Done(first->id_, sentAt, AttemptEnd::NotRun);
+  fixture.tried_.clear();
   for (int i = 0; i < 40; ++i) {
-    const UpstreamPtr picked = bed.Send();
+    const UpstreamPtr picked = fixture.Send();
     REQUIRE(picked);
     CHECK(picked->id_ == second->id_);
   }
@@ -277,30 +277,30 @@
 
 TEST_CASE("ejected upstreams still serve when there is no other")
 {
-  Bed bed(1);
+  RouterFixture fixture(1);
   for (int i = 0; i < 3; ++i) {
-    bed.router_.OnSent(Bed::Id(0), bed.spec_, bed.now_);
-    bed.Done(Bed::Id(0), bed.now_, AttemptEnd::NotRun);
+    fixture.router_.OnSent(RouterFixture::Id(0), fixture.spec_, fixture.now_);
+    fixture.Done(RouterFixture::Id(0), fixture.now_, AttemptEnd::NotRun);
   }
-  CHECK(bed.Pick());
+  CHECK(fixture.Pick());
 }
 
 TEST_CASE("a new upstream starts slowly")
 {
-  Bed bed(1);
-  UpstreamView added = bed.views_[0];
+  RouterFixture fixture(1);
+  UpstreamView added = fixture.views_[0];
   added.id_ = UpstreamId{ "new" };
-  bed.views_.push_back(added);
-  bed.Apply();
-  bed.views_[0].limit_ = 0;
-  bed.Apply();
+  fixture.views_.push_back(added);
+  fixture.Apply();
+  fixture.views_[0].limit_ = 0;
+  fixture.Apply();
   std::size_t sent = 0;
-  while (bed.Send()) {
+  while (fixture.Send()) {
     ++sent;
   }
   CHECK(sent == 2);
-  bed.now_ = bed.now_ + milliseconds(1100);
-  while (bed.Send()) {
+  fixture.now_ = fixture.now_ + milliseconds(1100);
+  while (fixture.Send()) {
     ++sent;
   }
   CHECK(sent == 8);
@@ -308,18 +308,18 @@
 
 TEST_CASE("a cached prefix attracts, an old hint or a loaded upstream less so")
 {
-  Bed bed(4);
-  bed.spec_.promptTokens_ = 2000;
-  bed.spec_.prefixHash_ = 77;
-  bed.router_.OnCacheEvent(Bed::Id(2), 77, true, bed.now_);
-  CHECK(bed.Pick()->id_ == Bed::Id(2));
-  bed.Report(2, 500);
-  CHECK(bed.Pick()->id_ != Bed::Id(2));
-  bed.Report(2, 0);
-  bed.Report(0, 0);
-  bed.router_.OnCacheEvent(Bed::Id(0), 77, true, bed.now_);
-  bed.router_.OnCacheEvent(Bed::Id(2), 77, false, bed.now_);
-  CHECK(bed.Pick()->id_ == Bed::Id(0));
+  RouterFixture fixture(4);
+  fixture.spec_.promptTokens_ = 2000;
+  fixture.spec_.prefixHash_ = 77;
+  fixture.router_.OnCacheEvent(RouterFixture::Id(2), 77, true, fixture.now_);
+  CHECK(fixture.Pick()->id_ == RouterFixture::Id(2));
+  fixture.Report(2, 500);
+  CHECK(fixture.Pick()->id_ != RouterFixture::Id(2));
+  fixture.Report(2, 0);
+  fixture.Report(0, 0);
+  fixture.router_.OnCacheEvent(RouterFixture::Id(0), 77, true, fixture.now_);
+  fixture.router_.OnCacheEvent(RouterFixture::Id(2), 77, false, fixture.now_);
+  CHECK(fixture.Pick()->id_ == RouterFixture::Id(0));
 }
 
 TEST_CASE("the adaptive limit shrinks once for each cause and grows by use")
@@ -328,7 +328,7 @@
   TimePoint now{ seconds(1) };
   const std::uint64_t first = limit.Get();
   for (int i = 0; i < 200; ++i) {
-    limit.OnUsed(now);
+    limit.OnAnswerAtLimit(now);
   }
   const std::uint64_t grown = limit.Get();
   CHECK(grown > first + 5);
@@ -338,7 +338,7 @@
   const std::uint64_t shrunk = limit.Get();
   CHECK(shrunk < grown);
   CHECK(shrunk > grown / 2);
-  limit.OnUsed(now);
+  limit.OnAnswerAtLimit(now);
   CHECK(limit.Get() == shrunk);
 }
 
@@ -350,7 +350,7 @@
   std::vector<UpstreamView> views;
   for (std::size_t i = 0; i < kUpstreams; ++i) {
     UpstreamView view;
-    view.id_ = Bed::Id(i);
+    view.id_ = RouterFixture::Id(i);
     view.service_ = ServiceId{ "s" };
     view.zone_ = ZoneId{ "z" + std::to_string(i % kZones) };
     views.push_back(view);
--- a/tests/test_straggler.cpp
+++ b/tests/test_straggler.cpp
@@ -14,7 +14,7 @@
 
 /// Teaches 10 ms a token and lengths of 50 to 100 tokens.
 void
-Teach(StragglerPolicy& aPolicy)
+TrainPolicy(StragglerPolicy& aPolicy)
 {
   for (std::uint64_t i = 0; i < 200; ++i) {
     const std::int64_t tokens = i % 2 == 0 ? 100 : 50;
@@ -29,7 +29,7 @@
 TEST_CASE("a slow member is resumed elsewhere, a long one is left alone")
 {
   StragglerPolicy policy;
-  Teach(policy);
+  TrainPolicy(policy);
   policy.OnStarted({ TicketId{ 1 }, 1, 100, true }, At(0));
   policy.OnStarted({ TicketId{ 2 }, 1, 100, true }, At(0));
   // Both have run 5 s: one has 480 tokens, the other 40.
@@ -45,7 +45,7 @@
 TEST_CASE("hedges keep to the budget and to idle slots, the latest first")
 {
   StragglerPolicy policy;
-  Teach(policy);
+  TrainPolicy(policy);
   // 15,000 tokens generated: 4% pay for six second runs of 100.
   for (std::uint64_t i = 1; i <= 20; ++i) {
     policy.OnStarted({ TicketId{ i }, i, 100, false },
--- a/tests/test_work_pace.cpp
+++ b/tests/test_time_share_limiter.cpp
@@ -9,7 +9,7 @@
 
 TEST_CASE("work is put off in proportion to the time that it takes")
 {
-  WorkPace pace(0.125);
+  TimeShareLimiter pace(0.125);
   const TimePoint start{ 100s };
   REQUIRE(pace.NextAt() <= start);
   pace.OnDone(start, start + 10ms);
--- a/tests/test_upstream_choice.cpp
+++ b/tests/test_upstream_choice.cpp
@@ -33,45 +33,45 @@
   return entry;
 }
 
-UpstreamBoard
+UpstreamTable
 MakeFleet(std::size_t aCount)
 {
-  UpstreamBoard board(ZoneId{ "z1" }, {}, "self");
+  UpstreamTable table(ZoneId{ "z1" }, {}, "self");
   for (std::size_t i = 0; i < aCount; ++i) {
-    board.OnEntry(MakeEntry(i));
+    table.OnEntry(MakeEntry(i));
   }
-  return board;
+  return table;
 }
 
 /// Places the items of a step and looks after them as they run.
 /// @returns upstreams looked at
 std::uint64_t
-PlaceStep(UpstreamBoard& aBoard, std::size_t aItems)
+PlaceStep(UpstreamTable& aTable, std::size_t aItems)
 {
-  const std::uint64_t before = aBoard.Looks();
+  const std::uint64_t before = aTable.InspectedCount();
   for (std::size_t i = 0; i < aItems; ++i) {
-    const BoardUpstream* upstream =
-      aBoard.PickForItem({ kModels, "m", WeightVersion{ 2 }, {}, {} }, kStart);
+    const TrackedUpstream* upstream =
+      aTable.PickForItem({ kModels, "m", WeightVersion{ 2 }, {}, {} }, kStart);
     REQUIRE(upstream != nullptr);
     const UpstreamId id = upstream->entry_.id_;
-    aBoard.OnStart(id, kStart);
-    aBoard.OnPace(id, 40ms);
-    REQUIRE_FALSE(aBoard.Slow(id));
-    REQUIRE(aBoard.Pick(kPlain, {}, kStart) != nullptr);
+    aTable.OnStart(id, kStart);
+    aTable.OnPace(id, 40ms);
+    REQUIRE_FALSE(aTable.Slow(id));
+    REQUIRE(aTable.Pick(kPlain, {}, kStart) != nullptr);
   }
-  return aBoard.Looks() - before;
+  return aTable.InspectedCount() - before;
 }
 
 double
-LoadOf(const BoardUpstream& aUpstream)
+LoadOf(const TrackedUpstream& aUpstream)
 {
   return static_cast<double>(aUpstream.inFlight_) / aUpstream.entry_.slots_;
 }
 
 /// Chooses by a look at all upstreams.
-struct WholeLook
+struct ExhaustiveSearch
 {
-  const UpstreamBoard& board_;
+  const UpstreamTable& upstreamTable_;
   const std::vector<UpstreamId>& ids_;
   TimePoint now_;
 
@@ -80,17 +80,17 @@
     std::optional<std::tuple<bool, bool, bool, double, bool, std::size_t>> best;
     UpstreamId chosen;
     for (const UpstreamId& id : ids_) {
-      const BoardUpstream* upstream = board_.Find(id);
+      const TrackedUpstream* upstream = upstreamTable_.Find(id);
       if (upstream == nullptr || upstream->entry_.service_ != kPlain ||
-          aTried.contains(id) || !board_.Usable(*upstream, now_)) {
+          aTried.contains(id) || !upstreamTable_.Usable(*upstream, now_)) {
         continue;
       }
-      const std::tuple rank{ upstream->vanished_ != kNever,
+      const std::tuple rank{ upstream->removedAt_ != kNever,
                              upstream->avoidUntil_ > now_,
-                             board_.Quiet(*upstream, now_),
+                             upstreamTable_.Unresponsive(*upstream, now_),
                              LoadOf(*upstream),
                              upstream->entry_.zone_ != ZoneId{ "z1" },
-                             upstream->order_ };
+                             upstream->tieBreak_ };
       if (!best || rank < *best) {
         best = rank;
         chosen = id;
@@ -99,29 +99,30 @@
     return chosen;
   }
 
-  [[nodiscard]] UpstreamId ForItem(WeightVersion aLeast,
+  [[nodiscard]] UpstreamId ForItem(WeightVersion aMinVersion,
                                    const UpstreamId& aPreferred) const
   {
     std::optional<std::tuple<bool, bool, bool, double, std::size_t>> best;
     UpstreamId chosen;
     for (const UpstreamId& id : ids_) {
-      const BoardUpstream* upstream = board_.Find(id);
+      const TrackedUpstream* upstream = upstreamTable_.Find(id);
       if (upstream == nullptr || upstream->entry_.service_ != kModels ||
-          !board_.Usable(*upstream, now_) || upstream->avoidUntil_ > now_ ||
+          !upstreamTable_.Usable(*upstream, now_) ||
+          upstream->avoidUntil_ > now_ ||
           upstream->inFlight_ >= upstream->entry_.slots_ ||
-          upstream->versions_.at("m") < aLeast) {
+          upstream->versions_.at("m") < aMinVersion) {
         continue;
       }
-      const bool quiet = board_.Quiet(*upstream, now_);
-      const bool slow = board_.Slow(id);
-      if (id == aPreferred && !slow && !quiet) {
+      const bool unresponsive = upstreamTable_.Unresponsive(*upstream, now_);
+      const bool slow = upstreamTable_.Slow(id);
+      if (id == aPreferred && !slow && !unresponsive) {
         return id;
       }
-      const std::tuple rank{ upstream->vanished_ != kNever,
-                             quiet,
+      const std::tuple rank{ upstream->removedAt_ != kNever,
+                             unresponsive,
                              slow,
                              LoadOf(*upstream),
-                             upstream->order_ };
+                             upstream->tieBreak_ };
       if (!best || rank < *best) {
         best = rank;
         chosen = id;
@@ -132,7 +133,7 @@
 };
 
 UpstreamId
-IdOf(const BoardUpstream* aUpstream)
+IdOf(const TrackedUpstream* aUpstream)
 {
   return aUpstream == nullptr ? UpstreamId{} : aUpstream->entry_.id_;
 }
@@ -145,8 +146,8 @@
 TEST_CASE("placing items costs no more looks in a fleet a hundred times larger")
 {
   constexpr std::size_t kItems = 128;
-  UpstreamBoard small = MakeFleet(60);
-  UpstreamBoard large = MakeFleet(6000);
+  UpstreamTable small = MakeFleet(60);
+  UpstreamTable large = MakeFleet(6000);
   const std::uint64_t few = PlaceStep(small, kItems);
   const std::uint64_t many = PlaceStep(large, kItems);
   REQUIRE(many <= 2 * few);
@@ -161,7 +162,7 @@
     return random.Below(aBelow);
   };
   constexpr std::size_t kFleet = 30;
-  UpstreamBoard board = MakeFleet(kFleet);
+  UpstreamTable table = MakeFleet(kFleet);
   std::vector<UpstreamId> ids;
   for (std::size_t i = 0; i < kFleet; ++i) {
     ids.push_back(MakeEntry(i).id_);
@@ -174,36 +175,36 @@
     UpstreamEntry entry = MakeEntry(number);
     switch (draw(10)) {
       case 0:
-        board.OnVanished(id, now);
+        table.OnRemoved(id, now);
         break;
       case 1:
         entry.start_ = UpstreamStart{ draw(4) };
         entry.draining_ = draw(8) == 0;
         entry.service_ = draw(10) == 0 ? kPlain : entry.service_;
-        board.OnEntry(entry);
+        table.OnEntry(entry);
         break;
       case 2:
-        board.OnPace(id, std::chrono::milliseconds(20 + draw(200)));
+        table.OnPace(id, std::chrono::milliseconds(20 + draw(200)));
         break;
       case 3:
-        board.OnHeard(id, now);
+        table.OnReceived(id, now);
         break;
       case 4:
-        board.OnVersion(id, "m", WeightVersion{ draw(5) });
+        table.OnVersion(id, "m", WeightVersion{ draw(5) });
         break;
       case 5:
-        board.OnEnd(id, static_cast<CallVerdict>(draw(5)), now);
+        table.OnEnd(id, static_cast<CallVerdict>(draw(5)), now);
         break;
       default:
-        board.OnStart(id, now);
+        table.OnStart(id, now);
         break;
     }
-    const WholeLook whole{ board, ids, now };
+    const ExhaustiveSearch whole{ table, ids, now };
     const UpstreamId& other = ids[draw(kFleet)];
     const WeightVersion least{ 1 + draw(4) };
-    REQUIRE(IdOf(board.Pick(kPlain, { other }, now)) ==
+    REQUIRE(IdOf(table.Pick(kPlain, { other }, now)) ==
             whole.ForRequest({ other }));
-    REQUIRE(IdOf(board.PickForItem({ kModels, "m", least, other, {} }, now)) ==
+    REQUIRE(IdOf(table.PickForItem({ kModels, "m", least, other, {} }, now)) ==
             whole.ForItem(least, other));
   }
 }
--- a/tests/test_upstream_board.cpp
+++ b/tests/test_upstream_table.cpp
@@ -29,22 +29,22 @@
   return entry;
 }
 
-UpstreamBoard
-MakeBoard(const std::vector<UpstreamEntry>& aEntries)
+UpstreamTable
+MakeTable(const std::vector<UpstreamEntry>& aEntries)
 {
-  UpstreamBoard board(ZoneId{ "z1" });
+  UpstreamTable table(ZoneId{ "z1" });
   for (const UpstreamEntry& entry : aEntries) {
-    board.OnEntry(entry);
+    table.OnEntry(entry);
   }
-  return board;
+  return table;
 }
 
 std::string
-PickId(const UpstreamBoard& aBoard,
+PickId(const UpstreamTable& aTable,
        TimePoint aNow = kStart,
        const std::set<UpstreamId>& aTried = {})
 {
-  const BoardUpstream* picked = aBoard.Pick(kService, aTried, aNow);
+  const TrackedUpstream* picked = aTable.Pick(kService, aTried, aNow);
   return picked == nullptr ? "" : picked->entry_.id_.Get();
 }
 
@@ -73,7 +73,7 @@
 TEST_CASE("the route with the longest prefix of the host's routes wins")
 {
   RouteTable table;
-  REQUIRE_FALSE(table.Known());
+  REQUIRE_FALSE(table.HasConfig());
   RoutingConfig config;
   config.revision_ = ConfigRevision{ 3 };
   config.routes_ = { MakeRoute("short", "/a/"), MakeRoute("long", "/a/b/") };
@@ -152,23 +152,23 @@
 
 TEST_CASE("a request goes to the least loaded, own zone first")
 {
-  UpstreamBoard board =
-    MakeBoard({ MakeEntry("far", "z2"), MakeEntry("near") });
-  REQUIRE(PickId(board) == "near");
-  board.OnStart(UpstreamId{ "near" }, kStart);
-  REQUIRE(PickId(board) == "far");
-  REQUIRE(PickId(board, kStart, { UpstreamId{ "far" } }) == "near");
+  UpstreamTable table =
+    MakeTable({ MakeEntry("far", "z2"), MakeEntry("near") });
+  REQUIRE(PickId(table) == "near");
+  table.OnStart(UpstreamId{ "near" }, kStart);
+  REQUIRE(PickId(table) == "far");
+  REQUIRE(PickId(table, kStart, { UpstreamId{ "far" } }) == "near");
 }
 
 TEST_CASE("a leaving mark holds for the incarnation")
 {
-  UpstreamBoard board = MakeBoard({ MakeEntry("a") });
+  UpstreamTable table = MakeTable({ MakeEntry("a") });
   UpstreamEntry leaving = MakeEntry("a");
   leaving.draining_ = true;
-  board.OnEntry(leaving);
-  REQUIRE(PickId(board).empty());
-  board.OnEntry(MakeEntry("a"));
-  REQUIRE(PickId(board).empty());
+  table.OnEntry(leaving);
+  REQUIRE(PickId(table).empty());
+  table.OnEntry(MakeEntry("a"));
+  REQUIRE(PickId(table).empty());
 }
 
 TEST_CASE("a restart under the same id clears what was known before")
@@ -176,27 +176,27 @@
   UpstreamEntry entry = MakeEntry("a", "z1", 7);
   entry.start_ = UpstreamStart{ 1000 };
   entry.draining_ = true;
-  UpstreamBoard board = MakeBoard({ entry });
+  UpstreamTable table = MakeTable({ entry });
   for (int i = 0; i < 3; ++i) {
-    board.OnStart(entry.id_, kStart);
-    board.OnEnd(entry.id_, CallVerdict::Failed, kStart);
+    table.OnStart(entry.id_, kStart);
+    table.OnEnd(entry.id_, CallVerdict::Failed, kStart);
   }
-  board.OnPace(entry.id_, 40ms);
-  board.OnStart(entry.id_, kStart);
+  table.OnPace(entry.id_, 40ms);
+  table.OnStart(entry.id_, kStart);
 
   UpstreamEntry again = MakeEntry("a", "z1", 6);
   again.start_ = UpstreamStart{ 2000 };
-  REQUIRE(board.OnEntry(again) == EntryEffect::Restarted);
-  REQUIRE(PickId(board) == "a");
-  const BoardUpstream* upstream = board.Find(entry.id_);
+  REQUIRE(table.OnEntry(again) == EntryEffect::Restarted);
+  REQUIRE(PickId(table) == "a");
+  const TrackedUpstream* upstream = table.Find(entry.id_);
   REQUIRE(upstream->versions_.at("m") == WeightVersion{ 6 });
   REQUIRE(upstream->failures_ == 0);
   REQUIRE(upstream->avoidUntil_ <= kStart);
   REQUIRE(upstream->pace_ == 0ms);
   // The call in progress is its driver's to settle.
   REQUIRE(upstream->inFlight_ == 1);
-  REQUIRE(board.PickForItem(Needs(7), kStart) == nullptr);
-  REQUIRE(board.PickForItem(Needs(6), kStart) != nullptr);
+  REQUIRE(table.PickForItem(Needs(7), kStart) == nullptr);
+  REQUIRE(table.PickForItem(Needs(6), kStart) != nullptr);
 }
 
 TEST_CASE("an entry of an earlier incarnation never replaces a newer one")
@@ -206,27 +206,27 @@
   old.address_ = "127.0.0.1:9";
   UpstreamEntry current = MakeEntry("a", "z1", 3);
   current.start_ = UpstreamStart{ 2000 };
-  UpstreamBoard board = MakeBoard({ old, current });
-  REQUIRE(board.OnEntry(old) == EntryEffect::Outdated);
-  REQUIRE(board.Find(old.id_)->versions_.at("m") == WeightVersion{ 3 });
-  REQUIRE(board.Find(old.id_)->entry_.address_ == "127.0.0.1:1");
+  UpstreamTable table = MakeTable({ old, current });
+  REQUIRE(table.OnEntry(old) == EntryEffect::Outdated);
+  REQUIRE(table.Find(old.id_)->versions_.at("m") == WeightVersion{ 3 });
+  REQUIRE(table.Find(old.id_)->entry_.address_ == "127.0.0.1:1");
   // Nor after the newer one has vanished and been forgotten.
-  board.OnVanished(old.id_, kStart);
-  board.OnVanished(UpstreamId{ "other" }, kStart + 5s);
-  REQUIRE(board.Find(old.id_) == nullptr);
-  REQUIRE(board.OnEntry(old) == EntryEffect::Outdated);
-  REQUIRE(PickId(board, kStart + 5s).empty());
+  table.OnRemoved(old.id_, kStart);
+  table.OnRemoved(UpstreamId{ "other" }, kStart + 5s);
+  REQUIRE(table.Find(old.id_) == nullptr);
+  REQUIRE(table.OnEntry(old) == EntryEffect::Outdated);
+  REQUIRE(PickId(table, kStart + 5s).empty());
 }
 
 TEST_CASE("an incarnation that comes back keeps what was known of it")
 {
   UpstreamEntry entry = MakeEntry("a", "z1", 3);
   entry.start_ = UpstreamStart{ 1000 };
-  UpstreamBoard board = MakeBoard({ entry });
-  board.OnVersion(entry.id_, "m", WeightVersion{ 4 });
-  board.OnVanished(entry.id_, kStart);
-  REQUIRE(board.OnEntry(entry) == EntryEffect::Current);
-  REQUIRE(board.Find(entry.id_)->versions_.at("m") == WeightVersion{ 4 });
+  UpstreamTable table = MakeTable({ entry });
+  table.OnVersion(entry.id_, "m", WeightVersion{ 4 });
+  table.OnRemoved(entry.id_, kStart);
+  REQUIRE(table.OnEntry(entry) == EntryEffect::Current);
+  REQUIRE(table.Find(entry.id_)->versions_.at("m") == WeightVersion{ 4 });
 }
 
 TEST_CASE("a whole list tells which upstreams have started again")
@@ -235,148 +235,148 @@
   a.start_ = UpstreamStart{ 1000 };
   UpstreamEntry b = MakeEntry("b");
   b.start_ = UpstreamStart{ 1000 };
-  UpstreamBoard board = MakeBoard({ a, b });
+  UpstreamTable table = MakeTable({ a, b });
   b.start_ = UpstreamStart{ 1001 };
-  REQUIRE(board.OnList({ a, b }, kStart) ==
+  REQUIRE(table.OnList({ a, b }, kStart) ==
           std::vector<UpstreamId>{ UpstreamId{ "b" } });
 }
 
 TEST_CASE("an entry that vanished gets no work once its grace is over")
 {
-  UpstreamBoard board = MakeBoard({ MakeEntry("a"), MakeEntry("b", "z2") });
-  board.OnVanished(UpstreamId{ "a" }, kStart);
-  REQUIRE(PickId(board) == "b");
-  REQUIRE(PickId(board, kStart, { UpstreamId{ "b" } }) == "a");
-  const TimePoint late = kStart + BoardPolicy{}.vanishGrace_;
-  REQUIRE(PickId(board, late, { UpstreamId{ "b" } }).empty());
+  UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b", "z2") });
+  table.OnRemoved(UpstreamId{ "a" }, kStart);
+  REQUIRE(PickId(table) == "b");
+  REQUIRE(PickId(table, kStart, { UpstreamId{ "b" } }) == "a");
+  const TimePoint late = kStart + SelectionPolicy{}.removalGrace_;
+  REQUIRE(PickId(table, late, { UpstreamId{ "b" } }).empty());
   // It was back: a lapse while the store was away.
-  board.OnEntry(MakeEntry("a"));
-  REQUIRE(PickId(board, late, { UpstreamId{ "b" } }) == "a");
+  table.OnEntry(MakeEntry("a"));
+  REQUIRE(PickId(table, late, { UpstreamId{ "b" } }) == "a");
 }
 
 TEST_CASE("a whole list tells what has vanished")
 {
-  UpstreamBoard board = MakeBoard({ MakeEntry("a"), MakeEntry("b") });
-  board.OnList({ MakeEntry("b") }, kStart);
+  UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b") });
+  table.OnList({ MakeEntry("b") }, kStart);
   const TimePoint late = kStart + 10s;
-  REQUIRE(PickId(board, late) == "b");
-  REQUIRE(PickId(board, late, { UpstreamId{ "b" } }).empty());
+  REQUIRE(PickId(table, late) == "b");
+  REQUIRE(PickId(table, late, { UpstreamId{ "b" } }).empty());
 }
 
 TEST_CASE("an upstream that fails is avoided while there is another")
 {
-  UpstreamBoard board = MakeBoard({ MakeEntry("a"), MakeEntry("b", "z2") });
-  board.OnStart(UpstreamId{ "a" }, kStart);
-  board.OnEnd(UpstreamId{ "a" }, CallVerdict::Failed, kStart);
-  REQUIRE(PickId(board) == "b");
-  REQUIRE(PickId(board, kStart, { UpstreamId{ "b" } }) == "a");
-  REQUIRE(PickId(board, kStart + 1s) == "a");
+  UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b", "z2") });
+  table.OnStart(UpstreamId{ "a" }, kStart);
+  table.OnEnd(UpstreamId{ "a" }, CallVerdict::Failed, kStart);
+  REQUIRE(PickId(table) == "b");
+  REQUIRE(PickId(table, kStart, { UpstreamId{ "b" } }) == "a");
+  REQUIRE(PickId(table, kStart + 1s) == "a");
 }
 
 TEST_CASE("an item goes only where its version is and a slot is free")
 {
-  UpstreamBoard board =
-    MakeBoard({ MakeEntry("old", "z1", 4), MakeEntry("new", "z1", 5) });
+  UpstreamTable table =
+    MakeTable({ MakeEntry("old", "z1", 4), MakeEntry("new", "z1", 5) });
   for (int i = 0; i < 2; ++i) {
-    const BoardUpstream* picked = board.PickForItem(Needs(5), kStart);
+    const TrackedUpstream* picked = table.PickForItem(Needs(5), kStart);
     REQUIRE(picked->entry_.id_ == UpstreamId{ "new" });
-    board.OnStart(picked->entry_.id_, kStart);
+    table.OnStart(picked->entry_.id_, kStart);
   }
-  REQUIRE(board.PickForItem(Needs(5), kStart) == nullptr);
-  board.OnVersion(UpstreamId{ "old" }, "m", WeightVersion{ 5 });
-  REQUIRE(board.PickForItem(Needs(5), kStart)->entry_.id_ ==
+  REQUIRE(table.PickForItem(Needs(5), kStart) == nullptr);
+  table.OnVersion(UpstreamId{ "old" }, "m", WeightVersion{ 5 });
+  REQUIRE(table.PickForItem(Needs(5), kStart)->entry_.id_ ==
           UpstreamId{ "old" });
 }
 
 TEST_CASE("an item prefers the upstream that holds its prompt, unless slow")
 {
-  UpstreamBoard board =
-    MakeBoard({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
-  board.OnStart(UpstreamId{ "a" }, kStart);
-  REQUIRE(board.PickForItem(Needs(1, "a"), kStart)->entry_.id_ ==
+  UpstreamTable table =
+    MakeTable({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
+  table.OnStart(UpstreamId{ "a" }, kStart);
+  REQUIRE(table.PickForItem(Needs(1, "a"), kStart)->entry_.id_ ==
           UpstreamId{ "a" });
   for (int i = 0; i < 20; ++i) {
-    board.OnPace(UpstreamId{ "a" }, 100ms);
-    board.OnPace(UpstreamId{ "b" }, 30ms);
-    board.OnPace(UpstreamId{ "c" }, 30ms);
+    table.OnPace(UpstreamId{ "a" }, 100ms);
+    table.OnPace(UpstreamId{ "b" }, 30ms);
+    table.OnPace(UpstreamId{ "c" }, 30ms);
   }
-  REQUIRE(board.Slow(UpstreamId{ "a" }));
-  REQUIRE(board.PickForItem(Needs(1, "a"), kStart)->entry_.id_ !=
+  REQUIRE(table.Slow(UpstreamId{ "a" }));
+  REQUIRE(table.PickForItem(Needs(1, "a"), kStart)->entry_.id_ !=
           UpstreamId{ "a" });
 }
 
 TEST_CASE("a stream held up by a change of weights does not look slow")
 {
-  UpstreamBoard board =
-    MakeBoard({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
+  UpstreamTable table =
+    MakeTable({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
   for (const char* id : { "a", "b", "c" }) {
-    board.OnPace(UpstreamId{ id }, 30ms);
+    table.OnPace(UpstreamId{ id }, 30ms);
   }
-  board.OnPace(UpstreamId{ "a" }, 900ms);
-  REQUIRE_FALSE(board.Slow(UpstreamId{ "a" }));
+  table.OnPace(UpstreamId{ "a" }, 900ms);
+  REQUIRE_FALSE(table.Slow(UpstreamId{ "a" }));
 }
 
 TEST_CASE("an upstream that lets nothing be heard is chosen last")
 {
-  UpstreamBoard board(ZoneId{ "z" });
+  UpstreamTable table(ZoneId{ "z" });
   for (const char* name : { "a", "b" }) {
     UpstreamEntry entry;
     entry.id_ = UpstreamId{ name };
     entry.service_ = ServiceId{ "s" };
     entry.slots_ = 4;
-    board.OnEntry(entry);
+    table.OnEntry(entry);
   }
   const auto pick = [&](Duration aAfter) {
-    return board.Pick(ServiceId{ "s" }, {}, kStart + aAfter)->entry_.id_.Get();
+    return table.Pick(ServiceId{ "s" }, {}, kStart + aAfter)->entry_.id_.Get();
   };
   const auto pickForItem = [&](Duration aAfter) {
     const ItemNeeds needs{ ServiceId{ "s" }, "", {}, UpstreamId{ "a" }, {} };
-    return board.PickForItem(needs, kStart + aAfter)->entry_.id_.Get();
+    return table.PickForItem(needs, kStart + aAfter)->entry_.id_.Get();
   };
-  board.OnStart(UpstreamId{ "a" }, kStart);
-  board.OnStart(UpstreamId{ "b" }, kStart);
-  board.OnStart(UpstreamId{ "b" }, kStart);
-  board.OnHeard(UpstreamId{ "b" }, kStart + 250ms);
+  table.OnStart(UpstreamId{ "a" }, kStart);
+  table.OnStart(UpstreamId{ "b" }, kStart);
+  table.OnStart(UpstreamId{ "b" }, kStart);
+  table.OnReceived(UpstreamId{ "b" }, kStart + 250ms);
   REQUIRE(pick(250ms) == "a");
   REQUIRE(pickForItem(250ms) == "a");
   REQUIRE(pick(350ms) == "b");
   REQUIRE(pickForItem(350ms) == "b");
-  board.OnHeard(UpstreamId{ "a" }, kStart + 350ms);
+  table.OnReceived(UpstreamId{ "a" }, kStart + 350ms);
   REQUIRE(pick(360ms) == "a");
   // One with nothing in progress owes nothing.
-  board.OnEnd(UpstreamId{ "a" }, CallVerdict::Abandoned, kStart + 400ms);
+  table.OnEnd(UpstreamId{ "a" }, CallVerdict::Abandoned, kStart + 400ms);
   REQUIRE(pick(10s) == "a");
 }
 
 TEST_CASE("a slow pace is not taken for silence")
 {
-  UpstreamBoard board(ZoneId{ "z" });
+  UpstreamTable table(ZoneId{ "z" });
   UpstreamEntry entry;
   entry.id_ = UpstreamId{ "a" };
   entry.service_ = ServiceId{ "s" };
-  board.OnEntry(entry);
-  board.OnStart(UpstreamId{ "a" }, kStart);
-  board.OnPace(UpstreamId{ "a" }, 200ms);
-  const BoardUpstream& upstream = *board.Find(UpstreamId{ "a" });
-  REQUIRE_FALSE(board.Quiet(upstream, kStart + 1100ms));
-  REQUIRE(board.Quiet(upstream, kStart + 1300ms));
+  table.OnEntry(entry);
+  table.OnStart(UpstreamId{ "a" }, kStart);
+  table.OnPace(UpstreamId{ "a" }, 200ms);
+  const TrackedUpstream& upstream = *table.Find(UpstreamId{ "a" });
+  REQUIRE_FALSE(table.Unresponsive(upstream, kStart + 1100ms));
+  REQUIRE(table.Unresponsive(upstream, kStart + 1300ms));
 }
 
 namespace {
 
-/// A board of one of many processes of a zone, which sees the same upstreams
+/// A table of one of many processes of a zone, which sees the same upstreams
 /// as all others.
-UpstreamBoard
-MakeBoardOf(int aProcess, int aUpstreams, std::uint32_t aSlots)
+UpstreamTable
+MakeTableOf(int aProcess, int aUpstreams, std::uint32_t aSlots)
 {
-  UpstreamBoard board(
-    ZoneId{ "z1" }, BoardPolicy{}, "front-" + std::to_string(aProcess));
+  UpstreamTable table(
+    ZoneId{ "z1" }, SelectionPolicy{}, "front-" + std::to_string(aProcess));
   for (int i = 0; i < aUpstreams; ++i) {
     UpstreamEntry entry = MakeEntry("u" + std::to_string(i));
     entry.slots_ = aSlots;
-    board.OnEntry(std::move(entry));
+    table.OnEntry(std::move(entry));
   }
-  return board;
+  return table;
 }
 
 } // namespace
@@ -386,12 +386,12 @@
   // Fifty processes of a zone with six upstreams, one call each at a time.
   std::map<std::string, int> calls;
   for (int process = 0; process < 50; ++process) {
-    UpstreamBoard board = MakeBoardOf(process, 6, 6);
-    const std::string first = PickId(board);
+    UpstreamTable table = MakeTableOf(process, 6, 6);
+    const std::string first = PickId(table);
     for (int call = 0; call < 20; ++call) {
-      REQUIRE(PickId(board) == first);
-      board.OnStart(UpstreamId{ first }, kStart);
-      board.OnEnd(UpstreamId{ first }, CallVerdict::Answered, kStart);
+      REQUIRE(PickId(table) == first);
+      table.OnStart(UpstreamId{ first }, kStart);
+      table.OnEnd(UpstreamId{ first }, CallVerdict::Answered, kStart);
       ++calls[first];
     }
   }
@@ -409,12 +409,12 @@
   // 12.5. With one order for all, each owner's second items met at the first.
   std::map<std::string, int> items;
   for (int owner = 0; owner < 8; ++owner) {
-    UpstreamBoard board = MakeBoardOf(owner, 77, 6);
+    UpstreamTable table = MakeTableOf(owner, 77, 6);
     for (int item = 0; item < 120; ++item) {
-      const BoardUpstream* picked = board.PickForItem(Needs(1), kStart);
+      const TrackedUpstream* picked = table.PickForItem(Needs(1), kStart);
       REQUIRE(picked != nullptr);
       ++items[picked->entry_.id_.Get()];
-      board.OnStart(picked->entry_.id_, kStart);
+      table.OnStart(picked->entry_.id_, kStart);
     }
   }
   for (const auto& [id, count] : items) {
