--- a/include/marjoramtally/process/concurrency_limit.hpp
+++ b/include/marjoramtally/process/concurrency_limit.hpp
@@ -1,4 +1,5 @@
-/// Adaptive limit of the requests that one entry keeps at an upstream.
+/// Adaptive limit of the requests that one entry process has in flight at an
+/// upstream.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -8,18 +9,19 @@
 
 namespace marjoramtally {
 
-/// Grows additively while it is used and all is well; shrinks by a factor
-/// when the upstream queues or live answers come near to their deadline.
-/// It binds trainers and background callers; live callers are bound by the
-/// rules' limit only. Thread-safe without locks.
+/// Additive increase, multiplicative decrease (AIMD): grows while the limit is
+/// reached, and shrinks when the upstream queues requests or live answers come
+/// close to their deadline. It applies to trainers and background callers; live
+/// callers are subject only to the limit of the rules. Lock-free and
+/// thread-safe.
 class ConcurrencyLimit
 {
 public:
-  /// The upstream reported requests that wait.
+  /// The upstream reported queued requests.
   void OnQueued(TimePoint aNow) noexcept;
-  /// A live answer came after this share of the time it had.
+  /// A live answer arrived after this fraction of its deadline.
   void OnLiveAnswer(double aShareOfDeadline, TimePoint aNow) noexcept;
-  /// Another answer came while the limit was reached.
+  /// An answer to a trainer or background caller arrived at the limit.
   void OnAnswerAtLimit(TimePoint aNow) noexcept;
   [[nodiscard]] std::uint64_t Get() const noexcept
   {
--- a/include/marjoramtally/process/load_estimate.hpp
+++ b/include/marjoramtally/process/load_estimate.hpp
@@ -1,5 +1,5 @@
-/// How much work an upstream has: own requests counted exactly, those of
-/// other entries from a late report.
+/// Load of an upstream: requests of this process are counted exactly, those of
+/// other entry processes are estimated from delayed reports.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,33 +10,35 @@
 
 namespace marjoramtally {
 
-/// Load of one upstream. Thread-safe without locks.
+/// Load of one upstream. Lock-free and thread-safe.
 class LoadEstimate
 {
 public:
   void OnSent(TimePoint aNow) noexcept;
   void OnDone(TimePoint aNow) noexcept;
-  /// Takes what the upstream had, from all senders, when it reported.
-  /// @param aAt when the report was true; own requests of that time are
-  /// taken off, so that what was sent since then counts once
+  /// Records a report.
+  /// @param aRequests requests at the upstream from all senders
+  /// @param aAt when the upstream took the figure. Own requests in flight at
+  /// that time are subtracted, so that no own request counts twice.
   void OnReport(std::uint64_t aRequests, TimePoint aAt) noexcept;
-  /// @param aMeanOthers what other entries keep at an upstream of the pool;
-  /// the older the report, the nearer to it is the estimate
-  /// @returns requests expected there now
+  /// @param aMeanOthers mean number of requests of other entry processes at an
+  /// upstream of the service; the estimate approaches it as the report ages
+  /// @returns expected number of requests at the upstream now
   [[nodiscard]] double Expected(TimePoint aNow,
                                 double aMeanOthers) const noexcept;
   [[nodiscard]] std::uint64_t InFlight() const noexcept
   {
     return inFlight_.load(std::memory_order_relaxed);
   }
-  /// @returns requests of other entries at the time of the last report
+  /// @returns requests of other entry processes at the time of the last report
   [[nodiscard]] double Others() const noexcept
   {
     return others_.load(std::memory_order_relaxed);
   }
 
 private:
-  /// The history reaches back over `kHistorySpans` spans of `kSpan`.
+  /// The history covers `kHistorySpans` spans of `kSpan` (65.5 ms), about 4.2
+  /// s.
   static constexpr std::size_t kHistorySpans = 64;
   static constexpr Duration kSpan{ 65'536 };
 
@@ -46,7 +48,7 @@
   std::atomic<std::uint64_t> inFlight_{ 0 };
   std::atomic<double> others_{ 0 };
   std::atomic<Duration::rep> reportedAt_{ -1 };
-  /// Span number and the requests in flight at its end.
+  /// Span number and requests in flight at its end, packed into one word.
   std::array<std::atomic<std::uint64_t>, kHistorySpans> history_{};
 };
 
--- a/include/marjoramtally/process/output_estimate.hpp
+++ b/include/marjoramtally/process/output_estimate.hpp
@@ -1,4 +1,4 @@
-/// Expected output lengths, learned from completions.
+/// Expected output lengths, estimated from earlier completions.
 #pragma once
 
 #include "marjoramtally/request/request.hpp"
@@ -7,20 +7,22 @@
 
 namespace marjoramtally {
 
-/// Learns how many tokens requests generate: for each trainer (or model of
-/// live callers), and for recent prompts, whose group members are alike. Not
-/// thread-safe.
+/// Estimates how many tokens requests generate, per trainer (per model for live
+/// callers) and per recent prompt, because the members of a group have similar
+/// lengths. Not thread-safe.
 class OutputEstimate
 {
 public:
-  /// @returns expected tokens to generate, at most what the request allows
+  /// @returns expected number of generated tokens, limited to the maximum of
+  /// the request
   [[nodiscard]] double Tokens(const RequestSpec& aRequest) const;
-  /// @returns expected cost: prompt and output tokens, weighted; at least 1
+  /// @returns expected cost: weighted sum of prompt and output tokens, at least
+  /// 1
   [[nodiscard]] double Cost(const RequestSpec& aRequest) const;
   /// Records how many tokens a request generated.
-  /// @returns its real cost
+  /// @returns its actual cost
   double Learn(const RequestSpec& aRequest, std::uint64_t aTokens);
-  /// @returns the cost of a request with so many output tokens
+  /// @returns the cost of a request with `aTokens` output tokens
   [[nodiscard]] static double CostOf(const RequestSpec& aRequest,
                                      double aTokens) noexcept;
 
--- a/include/marjoramtally/process/pace_median.hpp
+++ b/include/marjoramtally/process/pace_median.hpp
@@ -1,7 +1,8 @@
-/// The median of the paces of a service's upstreams.
+/// Median pace (time between two events of a stream) of the upstreams of a
+/// service.
 ///
-/// A pace changes with each event of a stream and the median is asked for each
-/// run in progress, so neither may cost a look at all upstreams.
+/// A pace changes with each event of a stream and the median is read for each
+/// run in progress, so neither operation may iterate over all upstreams.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,14 +11,14 @@
 
 namespace marjoramtally {
 
-/// Paces that are known; 0 stands for unknown and is left out.
+/// Set of known paces. A pace of 0 is unknown and is ignored.
 class PaceMedian
 {
 public:
   void Add(Duration aPace);
-  /// Takes out one pace that was added.
+  /// Removes a pace that was added before.
   void Remove(Duration aPace);
-  /// @returns the median, the upper one of an even count; 0 if none is known
+  /// @returns the median, the upper one for an even count; 0 if none is known
   [[nodiscard]] Duration Get() const noexcept;
 
 private:
--- a/include/marjoramtally/process/peak_demand.hpp
+++ b/include/marjoramtally/process/peak_demand.hpp
@@ -1,7 +1,7 @@
-/// The largest demand for places of the last while.
+/// The largest demand for slots within a sliding window.
 ///
-/// Steps begin together, so that what is wanted now says little of the next
-/// burst.
+/// Steps of several trainers begin together, so the current demand does not
+/// predict the next burst.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,19 +11,19 @@
 
 namespace marjoramtally {
 
-/// Remembers demand for a while.
+/// Maximum of the demand over a sliding window.
 class PeakDemand
 {
 public:
-  /// @param aWindow how long demand counts
+  /// @param aWindow length of the window
   explicit PeakDemand(Duration aWindow)
     : window_(aWindow)
   {
   }
 
-  /// Places that are wanted now.
+  /// Records the slots that are wanted now.
   void OnDemand(std::uint64_t aSlots, TimePoint aNow);
-  /// @returns 0 if nothing was wanted
+  /// @returns the maximum within the window; 0 if there was no demand
   [[nodiscard]] std::uint64_t At(TimePoint aNow) const;
 
 private:
@@ -34,7 +34,8 @@
   };
 
   Duration window_;
-  /// Falling: what a later demand exceeds can not become the largest.
+  /// Strictly decreasing: a demand that a later one reaches cannot become the
+  /// maximum.
   std::deque<Demand> history_;
 };
 
--- a/include/marjoramtally/process/prefix_hints.hpp
+++ b/include/marjoramtally/process/prefix_hints.hpp
@@ -1,5 +1,6 @@
-/// Hints of which upstream has a prompt's prefix in its cache. Events come
-/// late and with gaps, so a hint has an age and is never taken as truth.
+/// Hints about which upstreams have the prefix of a prompt cached. Cache events
+/// are delayed and may be lost, so the trust in a hint decreases with its age
+/// and no decision relies on it alone.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,18 +12,20 @@
 
 namespace marjoramtally {
 
-/// Names an upstream within one router; stable while the upstream is known.
+/// Identifies an upstream within one router; stable while the upstream is
+/// known.
 using UpstreamSlot = std::uint32_t;
 
-/// A table of fixed size; new hints push out the oldest of their bucket.
-/// Thread-safe without locks: a torn pair is only a wrong hint.
+/// Set-associative table of fixed size; a new hint replaces the oldest of its
+/// bucket. Lock-free and thread-safe: an inconsistent key and time only cause a
+/// wrong hint.
 class PrefixHints
 {
 public:
-  /// Hints that one prefix may have.
+  /// Maximum number of hints per prefix.
   static constexpr std::size_t kWays = 4;
 
-  /// An upstream and the trust in the hint, from 0 to 1.
+  /// An upstream and the trust in the hint, between 0 and 1.
   struct Hint
   {
     UpstreamSlot slot_ = 0;
@@ -35,11 +38,12 @@
   {
   }
 
-  /// The prefix entered a cache, or a request with it was sent there.
+  /// Records that the prefix entered a cache or that a request with it was
+  /// sent.
   void Add(std::uint64_t aPrefix, UpstreamSlot aSlot, TimePoint aNow) noexcept;
-  /// The prefix left a cache.
+  /// Records that the prefix left a cache.
   void Remove(std::uint64_t aPrefix, UpstreamSlot aSlot) noexcept;
-  /// @returns hints; those without trust mean nothing
+  /// @returns hints; entries with a trust of 0 are unused
   [[nodiscard]] Hints Find(std::uint64_t aPrefix,
                            TimePoint aNow) const noexcept;
 
@@ -48,7 +52,7 @@
 
   struct Way
   {
-    /// Upper half of the prefix's hash and the slot; 0 is free.
+    /// Half of the prefix hash and the slot; 0 if unused.
     std::atomic<std::uint64_t> key_{ 0 };
     std::atomic<Duration::rep> addedAt_{ 0 };
   };
--- a/include/marjoramtally/process/rcu_cell.hpp
+++ b/include/marjoramtally/process/rcu_cell.hpp
@@ -1,4 +1,5 @@
-/// Read-copy-update by liburcu: readers of shared state take no lock.
+/// Read-copy-update (RCU) on top of liburcu: readers of shared state take no
+/// lock.
 #pragma once
 
 #include <atomic>
@@ -8,8 +9,8 @@
 
 namespace marjoramtally {
 
-/// A read-side critical section of this thread. Short, never nested with a
-/// publication.
+/// Read-side critical section of the current thread. Must be short, and must
+/// not enclose a call of `RcuCell::Publish`, which would deadlock.
 class RcuReadGuard
 {
 public:
@@ -19,11 +20,11 @@
   RcuReadGuard& operator=(const RcuReadGuard&) = delete;
 };
 
-/// Waits until all read-side sections that run now have ended.
+/// Waits until all current read-side critical sections have ended.
 void
 WaitForRcuReaders();
 
-/// A pointer to immutable state; writers replace the state as a whole.
+/// Pointer to immutable state that writers replace.
 template<typename T>
 class RcuCell
 {
@@ -36,14 +37,14 @@
   RcuCell(const RcuCell&) = delete;
   RcuCell& operator=(const RcuCell&) = delete;
 
-  /// @returns the present state; valid while the guard lives
+  /// @returns the current state; valid for the lifetime of the guard
   [[nodiscard]] const T& Read(const RcuReadGuard& /*aGuard*/) const noexcept
   {
     return *current_.load(std::memory_order_acquire);
   }
 
-  /// Replaces the state. Writers take turns; old states are freed together,
-  /// after their readers are gone.
+  /// Replaces the state. Writers are serialized; replaced states are freed in
+  /// batches, after their readers have ended.
   void Publish(std::unique_ptr<const T> aNext)
   {
     const std::lock_guard lock(mutex_);
--- a/include/marjoramtally/process/route_table.hpp
+++ b/include/marjoramtally/process/route_table.hpp
@@ -1,5 +1,5 @@
-/// Routes of the operators' configuration: which service answers a request,
-/// and what may be done with it.
+/// Routes of the operators' configuration: which service answers a request and
+/// how the request may be handled.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -15,27 +15,26 @@
 
 namespace marjoramtally {
 
-/// What may be repeated, and how the answer comes.
+/// Whether requests may be repeated, and how they are answered.
 enum class RouteKind
 {
   /// May run more than once.
   Idempotent,
-  /// Runs at most once for each attempt of the caller.
+  /// Runs at most once per attempt of the caller.
   AtMostOnce,
-  /// Answered by a stream of events; at most once unless resumable.
+  /// Answered by an event stream; runs at most once unless resumable.
   Stream,
   /// A job of many generations, answered item by item.
   Rollout,
 };
 
-/// One service of a weighted split.
+/// One service of a weighted traffic split.
 struct ServiceWeight
 {
   ServiceId service_;
   std::uint32_t weight_ = 1;
 };
 
-/// One route.
 struct Route
 {
   std::string name_;
@@ -43,90 +42,91 @@
   /// Begins and ends with a slash.
   std::string prefix_;
   RouteKind kind_ = RouteKind::Idempotent;
-  /// Longest time that a caller is kept waiting.
+  /// Maximum time that a caller waits for an answer.
   Duration timeout_ = std::chrono::seconds(10);
-  /// Time within which an answer is worth all it can be.
+  /// Latency objective: an answer within this time has its full value.
   Duration objective_ = std::chrono::seconds(1);
   /// 0 is the highest.
   std::uint32_t priority_ = 0;
-  /// Most upstreams that one attempt of the caller may be sent to.
+  /// Maximum number of upstreams to which one attempt of the caller is sent.
   std::uint32_t maxAttempts_ = 1;
   bool resumable_ = false;
-  /// Requests need no key.
+  /// Requests need no API key.
   bool public_ = false;
-  /// All results are due this long after a job was submitted.
+  /// Time from the submission of a job until all its results are due.
   Duration runDeadline_ = std::chrono::seconds(10);
-  /// An item of a job may be given up this long after the submission.
+  /// Time from the submission of a job after which its items may be abandoned.
   Duration maxQueue_ = std::chrono::seconds(60);
-  /// A result must have been made under one weight version.
+  /// Each result must be generated under a single weight version.
   bool singleVersion_ = false;
   std::vector<ServiceWeight> services_;
 };
 
-/// How many upstreams of a service the platform provides on order, in each
-/// availability zone.
+/// Limits and prices of the upstreams of a service that the platform provides
+/// on order, per availability zone.
 struct UpstreamSupply
 {
   std::uint32_t min_ = 0;
   std::uint32_t max_ = 0;
-  /// From an order until its upstreams serve.
+  /// Time from an order until its upstreams serve requests.
   Duration bootTime_{ 0 };
-  /// Price of an upstream for each zone in which the service runs, to be
-  /// compared with each other only.
+  /// Price of an upstream in each zone in which the service runs. Prices have
+  /// no unit and are only compared with each other.
   std::map<ZoneId, double> zonePrices_;
-  /// Part of that price for an upstream that may be reclaimed; 0: there are
-  /// none.
+  /// Price of a reclaimable (spot) upstream as a fraction of that price; 0 if
+  /// the platform has none.
   double spotPrice_ = 0;
 };
 
-/// One service.
 struct ServiceSpec
 {
   ServiceId service_;
   std::string healthPath_;
-  /// Most connections of all callers together to one upstream.
+  /// Maximum number of connections to one upstream, over all callers.
   std::uint32_t maxConnections_ = 0;
-  /// Names of the models that its upstreams hold; empty: a plain service.
+  /// Models that its upstreams hold; empty for a plain service.
   std::vector<std::string> models_;
-  /// None: its upstreams are not ours to order.
+  /// Empty if its upstreams cannot be ordered by this system.
   std::optional<UpstreamSupply> supply_;
 };
 
-/// The operators' configuration as far as requests need it.
+/// The part of the operators' configuration that concerns requests.
 struct RoutingConfig
 {
   ConfigRevision revision_;
   std::vector<Route> routes_;
   std::map<ServiceId, ServiceSpec> services_;
   std::uint64_t maxBodyBytes_ = 0;
-  /// None: requests need no key.
+  /// Empty if requests need no API key.
   std::optional<std::vector<Customer>> customers_;
 };
 
-/// The configuration in force. Revisions only grow.
+/// The configuration in force. Its revision never decreases.
 class RouteTable
 {
 public:
-  /// @returns whether the configuration is newer and now in force
+  /// Applies a configuration unless it is older than or equal to the current
+  /// one.
+  /// @returns whether it was applied
   bool Apply(RoutingConfig aConfig);
-  /// @returns whether any configuration is known
+  /// @returns whether any configuration was applied
   [[nodiscard]] bool HasConfig() const noexcept
   {
     return config_.revision_.Get() != 0;
   }
-  /// @returns whether the configuration in force is at least as new; an older
-  /// one, or none at all, cannot tell that a route was removed
+  /// @returns whether the configuration in force is at least this revision. An
+  /// older one, or none, cannot show that a route was removed.
   [[nodiscard]] bool Covers(ConfigRevision aRevision) const noexcept
   {
     return HasConfig() && config_.revision_ >= aRevision;
   }
   /// @returns the route with the longest prefix of the path among those of
   /// the host, or nullptr
-  /// @param aHost may name a port, which is ignored
+  /// @param aHost host, optionally with a port, which is ignored
   [[nodiscard]] const Route* Match(std::string_view aHost,
                                    std::string_view aPath) const;
   [[nodiscard]] const RoutingConfig& Config() const noexcept { return config_; }
-  /// @returns whether requests need keys
+  /// @returns whether requests need an API key
   [[nodiscard]] bool RequiresKeys() const noexcept { return requiresKeys_; }
   [[nodiscard]] const CustomerTable& Customers() const noexcept
   {
@@ -134,30 +134,31 @@
   }
 
 private:
-  /// Without the customers, which the table holds.
+  /// `customers_` of the configuration is moved to the member below.
   RoutingConfig config_;
   bool requiresKeys_ = false;
   CustomerTable customers_;
-  /// Indices of the routes by host and prefix, one after the other: a host has
-  /// no slash and a prefix begins with one. Finding a route among 4,216 one by
-  /// one took 17 us, for each waiting item of a job again.
+  /// Indices of the routes, keyed by host followed by prefix. The keys are
+  /// unambiguous: a host has no slash and a prefix begins with one. A linear
+  /// search of 4,216 routes took 17 us and was repeated for each waiting item
+  /// of a job.
   std::map<std::string, std::size_t, std::less<>> byHostAndPrefix_;
-  /// Length of the longest of these keys, in bytes: no longer part of a path
-  /// is looked up.
+  /// Length of the longest of these keys in bytes, which bounds the part of a
+  /// path that is looked up.
   std::size_t maxKeyLength_ = 0;
 };
 
-/// @returns the models whose texts must come from one version: those of the
-/// services of routes that say so
+/// @returns the models whose results must be generated under a single weight
+/// version: those of the services of routes with `singleVersion_`
 [[nodiscard]] std::set<std::string>
 SingleVersionModels(const RoutingConfig& aConfig);
 
-/// @returns the services that a configuration names
+/// @returns the services named in a configuration
 [[nodiscard]] std::set<ServiceId>
 ServicesOf(const RoutingConfig& aConfig);
 
-/// Draws a service of a route's split.
-/// @param aDraw any number; the same number draws the same service
+/// Selects a service of a route in proportion to the weights.
+/// @param aDraw any number; equal numbers select the same service
 [[nodiscard]] const ServiceId&
 DrawService(const Route& aRoute, std::uint64_t aDraw) noexcept;
 
--- a/include/marjoramtally/process/router.hpp
+++ b/include/marjoramtally/process/router.hpp
@@ -1,4 +1,4 @@
-/// Chooses the upstream of a request.
+/// Selects an upstream for each request.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -12,21 +12,23 @@
 
 namespace marjoramtally {
 
-/// What the router may be tuned by.
+/// Tuning parameters of the router.
 struct RouterTuning
 {
-  /// Candidates drawn for a request; the best of them gets it.
+  /// Candidates drawn for each request; the one with the lowest cost gets it.
   std::size_t candidates_ = 2;
-  /// Share by which costs are blurred, so that routers with the same reports
-  /// do not choose alike.
+  /// Maximum random increase of a cost, as a fraction of it. It keeps routers
+  /// with the same reports from making the same choice.
   double costJitter_ = 0.1;
-  /// Whether reports are corrected by own requests and by their age.
+  /// Whether reported loads are corrected for requests sent since the report
+  /// and discounted by the age of the report.
   bool correctReports_ = true;
-  /// Whether hints of cached prefixes count.
+  /// Whether hints of cached prefixes lower the cost.
   bool prefixHints_ = true;
-  /// Whether trainers' requests are bound by the adaptive limit.
+  /// Whether requests of trainers and background callers are bound by the
+  /// adaptive limit.
   bool adaptiveLimit_ = true;
-  /// Time that a request to another zone takes longer.
+  /// Extra latency of a request to another zone.
   Duration crossZoneLatency_ = std::chrono::milliseconds(1);
 };
 
@@ -34,10 +36,10 @@
 struct AttemptResult
 {
   AttemptEnd end_ = AttemptEnd::Whole;
-  /// Set if its deadline ended it.
+  /// Whether the deadline ended the attempt.
   bool timedOut_ = false;
-  /// Set if the caller or a faster attempt ended it: says nothing of the
-  /// upstream.
+  /// Whether the caller or a faster attempt cancelled it, which is no evidence
+  /// about the health of the upstream.
   bool cancelled_ = false;
   TimePoint sentAt_;
   /// Tokens generated; 0 if unknown.
@@ -48,7 +50,7 @@
 struct RoutedUpstream;
 
 /// Routing state of one entry process. Thread-safe; `Pick`, `OnSent` and
-/// `OnDone` take no lock and their work does not grow with the fleet.
+/// `OnDone` take no lock and their cost does not depend on the fleet size.
 class Router
 {
 public:
@@ -57,24 +59,24 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  /// Replaces the set of upstreams, keeping the state of those that stay.
+  /// Replaces the set of upstreams. Those that remain keep their state.
   void SetUpstreams(const std::vector<UpstreamView>& aUpstreams,
                     TimePoint aNow);
   void OnReport(const UpstreamId& aId,
                 const UpstreamReport& aReport,
                 TimePoint aNow);
-  /// Puts reported versions in force that `OnReport` has put off to change
-  /// the routing state less often; to be called several times a second.
+  /// Publishes changes from reports that `OnReport` deferred to publish fewer
+  /// snapshots. To be called several times a second.
   void Refresh(TimePoint aNow);
-  /// Marks this incarnation as leaving, for good.
+  /// Marks this incarnation as leaving, permanently.
   void MarkLeaving(const UpstreamId& aId, TimePoint aNow);
-  /// A prefix entered the cache of an upstream or left it.
+  /// Records that a prefix entered the cache of an upstream or left it.
   void OnCacheEvent(const UpstreamId& aId,
                     std::uint64_t aPrefix,
                     bool aCached,
                     TimePoint aNow);
-  /// @param aTried upstreams that failed this request; taken last
-  /// @returns the upstream to send to, or null if none may take it now
+  /// @param aTried upstreams that failed this request; used as a last resort
+  /// @returns the selected upstream, or null if none accepts the request now
   [[nodiscard]] UpstreamPtr Pick(const RequestSpec& aRequest,
                                  const std::vector<UpstreamId>& aTried,
                                  TimePoint aNow) const;
@@ -101,13 +103,13 @@
   mutable std::atomic<std::uint64_t> picks_{ 0 };
   PrefixHints hints_;
   RcuCell<RoutingSnapshot> snapshot_;
-  /// Writers' state.
+  /// Guards the members below, which only writers use.
   mutable std::mutex mutex_;
   std::map<UpstreamId, RoutedPtr> upstreams_;
   LeavingMarks leaving_;
   UpstreamSlot nextSlot_ = 0;
   TimePoint publishedAt_;
-  /// Whether there are edits that are not published.
+  /// Whether there are unpublished edits.
   bool changed_ = false;
 };
 
--- a/include/marjoramtally/process/straggler.hpp
+++ b/include/marjoramtally/process/straggler.hpp
@@ -1,5 +1,5 @@
-/// Stragglers: members of a group that run late for a reason other than
-/// their length, and what to do with them.
+/// Stragglers: members of a group that are late for a reason other than their
+/// length, and the actions against them.
 #pragma once
 
 #include "marjoramtally/process/early_refusal.hpp"
@@ -9,41 +9,42 @@
 
 namespace marjoramtally {
 
-/// When a member counts as late, and what may be spent on it.
+/// When a member counts as late, and the budget for second runs.
 struct StragglerSettings
 {
-  /// Multiple of the usual time a token at which a member is late.
+  /// A member of known progress is late if its time per token exceeds the
+  /// median by this factor.
   double lateTokenTimeFactor_ = 2;
-  /// Share of the longest recent answers, at usual tokenTime, after which a
-  /// member of unknown progress is late.
+  /// A member of unknown progress is late after this fraction of the time that
+  /// the longest recent answers would take.
   double lateLengthFactor_ = 0.85;
-  /// Tokens that a member must have generated before its tokenTime is judged;
-  /// the time that so many usually take, where it has generated fewer.
+  /// Answers with fewer tokens are left out of the usual time per token. A
+  /// member with fewer tokens is treated as if it had generated this many.
   double minTokens_ = 12;
-  /// Extra tokens over all tokens generated.
+  /// Maximum tokens of second runs as a fraction of all generated tokens.
   double extraTokenBudget_ = 0.04;
 };
 
-/// A generation of one group that starts at an upstream.
+/// A member of a group whose generation starts at an upstream.
 struct MemberStart
 {
   TicketId ticket_;
-  /// Names the group within this process.
+  /// Identifies the group within this process.
   std::uint64_t group_ = 0;
   double expectedTokens_ = 1;
-  /// Whether the upstream tells how many tokens it has generated.
+  /// Whether the upstream reports how many tokens it has generated.
   bool progressKnown_ = false;
 };
 
-/// What to do with a late member.
+/// Action against a late member.
 struct StragglerAction
 {
   enum class Kind : std::uint8_t
   {
-    /// Cancel it and go on elsewhere from the tokens it has.
+    /// Cancel it and continue elsewhere from the tokens generated so far.
     Resume,
-    /// Run it again elsewhere; the first whole one wins, the other is
-    /// cancelled.
+    /// Run it a second time elsewhere; the first complete answer is used and
+    /// the other run is cancelled.
     Hedge,
   };
   TicketId ticket_;
@@ -51,10 +52,10 @@
 };
 
 /// Decides which members are late. A long member is not late: a second run
-/// takes as long, and preferring short answers would bias what the trainer
-/// learns. So lateness is judged by time for each token where progress is
-/// known, else by the time that the longest of recent answers would take. A
-/// hedge must repeat the member's seed. Not thread-safe.
+/// takes as long, and a preference for short answers would bias the training
+/// data. Lateness is therefore measured by the time per token if progress is
+/// known, and otherwise by the time that the longest recent answers would take.
+/// A hedge must use the same seed as the member. Not thread-safe.
 class StragglerPolicy
 {
 public:
@@ -65,15 +66,15 @@
 
   void OnStarted(const MemberStart& aMember, TimePoint aNow);
   void OnProgress(TicketId aTicket, double aTokens);
-  /// Ends a member whose answer is whole, or that failed or was cancelled.
-  /// @param aTokens tokens generated if it is whole
+  /// Ends a member that completed, failed or was cancelled.
+  /// @param aTokens generated tokens if it completed
   void OnEnded(TicketId aTicket, std::optional<double> aTokens, TimePoint aNow);
-  /// Records tokens that were thrown away.
+  /// Records generated tokens that were discarded.
   void OnWasted(double aTokens) noexcept { wastedTokens_ += aTokens; }
-  /// @returns tokens that a usual attempt generates in a time
+  /// @returns tokens that an attempt generates in this time at the median rate
   [[nodiscard]] double TokensIn(Duration aTime) const noexcept;
   /// @param aIdleSlots free slots at other upstreams
-  /// @returns what to do, the latest member first; each member once
+  /// @returns actions, the latest member first; at most one action per member
   [[nodiscard]] std::vector<StragglerAction> Review(TimePoint aNow,
                                                     std::size_t aIdleSlots);
 
@@ -92,21 +93,22 @@
     auto operator<=>(const LateMember&) const = default;
   };
 
-  /// @returns how far a member is beyond its limit; above 1 is late
+  /// @returns elapsed time relative to the limit; a member is late above 1
   [[nodiscard]] double Lateness(const Member& aMember, TimePoint aNow) const;
-  /// @returns whether the budget has room for a second run
+  /// Reserves tokens of the budget for a second run.
+  /// @returns whether the budget suffices
   [[nodiscard]] bool ReserveTokens(double aTokens);
 
   StragglerSettings settings_;
   std::map<TicketId, Member> members_;
-  /// Microseconds a token: the median, and what nearly all keep within.
+  /// Microseconds per token: median and 90th percentile.
   QuantileTracker medianTokenTime_{ 0.5 };
   QuantileTracker p90TokenTime_{ 0.9 };
-  /// A slowly sinking bound of recent lengths over expected lengths.
+  /// Slowly decaying maximum of the ratio of actual to expected length.
   double maxLengthRatio_ = 1;
   double generatedTokens_ = 0;
   double wastedTokens_ = 0;
-  /// Tokens of second runs that may still be thrown away.
+  /// Tokens of second runs in progress that may yet be discarded.
   double reservedTokens_ = 0;
 };
 
--- a/include/marjoramtally/process/time_share_limiter.hpp
+++ b/include/marjoramtally/process/time_share_limiter.hpp
@@ -1,16 +1,17 @@
-/// Bounds the share of a loop's time that one kind of work takes.
+/// Limits the fraction of an event loop's time that one kind of work takes.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
 
 namespace marjoramtally {
 
-/// Tells when work that holds up its loop may be done again: the longer it took
-/// last time, the later. What becomes due meanwhile is done together.
+/// Computes when work that blocks its event loop may run again: the longer it
+/// took last time, the later. Work that becomes due in the meantime is done in
+/// one run.
 class TimeShareLimiter
 {
 public:
-  /// @param aShare most of the time that the work may take, over 0, at most 1
+  /// @param aShare maximum fraction of the time for the work, in (0, 1]
   explicit constexpr TimeShareLimiter(double aShare) noexcept
     : share_(aShare)
   {
@@ -22,7 +23,7 @@
     next_ = aBegun + Duration{ static_cast<std::int64_t>(took / share_) };
   }
 
-  /// @returns the earliest time for the next piece of work
+  /// @returns the earliest time of the next run
   [[nodiscard]] TimePoint NextAt() const noexcept { return next_; }
 
 private:
--- a/include/marjoramtally/process/upstream.hpp
+++ b/include/marjoramtally/process/upstream.hpp
@@ -1,4 +1,4 @@
-/// Upstreams as routing sees them.
+/// Upstreams as seen by the router.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,39 +10,42 @@
 
 namespace marjoramtally {
 
-/// What an upstream last reported of itself.
+/// The latest status report of an upstream.
 struct UpstreamReport
 {
   /// Weight version of each model that it serves.
   std::map<std::string, WeightVersion> models_;
   std::uint64_t running_ = 0;
   std::uint64_t queued_ = 0;
-  /// Whether it says that it is leaving.
+  /// Whether it announces that it is leaving.
   bool leaving_ = false;
-  /// Grows with each start of the upstream; 0 if it does not say.
+  /// Increases with each start of the upstream; 0 if not reported.
   std::uint64_t incarnation_ = 0;
-  /// When it was true.
+  /// When the upstream took these figures.
   TimePoint at_;
 };
 
-/// An upstream as rules and lists describe it.
+/// An upstream as described by rules and instance lists.
 struct UpstreamView
 {
   UpstreamId id_;
   ServiceId service_;
   ZoneId zone_;
   std::string address_;
-  /// Marked as leaving by a list, a report or a peer; holds for good.
+  /// Marked as leaving by a list, a report or a peer; permanent for this
+  /// incarnation.
   bool leaving_ = false;
-  /// Taken out by the operators' rules. As accepted rules never go back, the
-  /// latest word counts, also one that puts the upstream back.
+  /// Drained by the operators' rules. Accepted rules never revert to an older
+  /// version, so the latest rules apply, also when they return the upstream to
+  /// service.
   bool drained_ = false;
-  /// Requests in flight from this process.
+  /// Maximum number of requests in flight from this process.
   std::uint64_t limit_ = 64;
-  /// Grows with each start of the upstream; 0 if the source does not say.
+  /// Increases with each start of the upstream; 0 if the source does not state
+  /// it.
   std::uint64_t incarnation_ = 0;
 
-  /// @returns whether it may be given new work
+  /// @returns whether it may receive new requests
   [[nodiscard]] bool TakesWork() const noexcept
   {
     return !leaving_ && !drained_;
@@ -51,9 +54,9 @@
 
 using UpstreamPtr = std::shared_ptr<const UpstreamView>;
 
-/// Leaving marks. A mark holds for good for the incarnation that it was set
-/// for: no older list or report undoes it. Another address or a higher
-/// incarnation is another start of the upstream. Not thread-safe.
+/// Upstreams marked as leaving. A mark is permanent for the incarnation that it
+/// was set for: no older list or report clears it. Another address or a higher
+/// incarnation number denotes a new start of the upstream. Not thread-safe.
 class LeavingMarks
 {
 public:
--- a/include/marjoramtally/process/upstream_table.hpp
+++ b/include/marjoramtally/process/upstream_table.hpp
@@ -1,5 +1,5 @@
-/// The upstreams that are registered, what is in flight at each of them, and
-/// the choice of one for a request or an item of a job.
+/// Registered upstreams, the calls in flight at each of them, and the selection
+/// of one for a request or an item of a job.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -15,213 +15,223 @@
 
 namespace marjoramtally {
 
-/// A weight version of a model that an upstream holds.
+/// A model that an upstream holds, and its weight version.
 struct ModelVersion
 {
   std::string model_;
   WeightVersion version_;
 };
 
-/// One upstream as it registered itself. Id and start name one incarnation.
+/// Registration of an upstream. Id and start together identify an incarnation.
 struct UpstreamEntry
 {
   UpstreamId id_;
   UpstreamStart start_;
   ServiceId service_;
-  /// IP number and port.
+  /// IP address and port.
   std::string address_;
   ZoneId zone_;
   std::uint32_t slots_ = 1;
   bool draining_ = false;
   std::vector<ModelVersion> models_;
-  /// It may be reclaimed at short notice.
+  /// Whether the platform may reclaim it at short notice.
   bool spot_ = false;
 };
 
-/// What an entry told of its upstream.
+/// Effect of a registry entry on the known state of its upstream.
 enum class EntryEffect
 {
-  /// The incarnation is new or known and goes on.
+  /// A new upstream, or the known incarnation of one.
   Current,
-  /// The upstream has started again under its id: nothing of before holds.
+  /// The upstream restarted under its id; its previous state was discarded.
   Restarted,
-  /// It speaks of an earlier incarnation and was ignored.
+  /// The entry describes an earlier incarnation and was ignored.
   Outdated,
 };
 
-/// How a call to an upstream ended, as far as its health goes.
+/// How a call to an upstream ended, with regard to the health of the upstream.
 enum class CallVerdict
 {
-  /// An answer of the upstream itself, whatever its status.
+  /// The upstream itself answered, with any status.
   Answered,
-  /// It said that it is full.
+  /// The upstream reported that all its slots are in use.
   Full,
-  /// It took no item though we know of a free slot, or stands still: its
-  /// weights change, or it cannot be reached.
+  /// The upstream accepted no item despite a free slot, or made no progress: it
+  /// is loading weights or is unreachable.
   Loading,
-  /// No whole answer: refused, broken, garbled or silent.
+  /// No complete answer: connection refused or broken, malformed data or no
+  /// response.
   Failed,
-  /// Given up by us or by the caller.
+  /// Abandoned by this process or by the caller.
   Abandoned,
 };
 
-/// A call of which nothing was heard for so long when a restart of its upstream
-/// becomes known had gone to the incarnation before. A restart is registered
-/// within a second; calls that are heard of go on.
+/// When a restart of an upstream becomes known, calls that received no data for
+/// this long are taken to be lost with the previous incarnation; other calls
+/// continue. A restart is registered within one second.
 inline constexpr auto kRestartIdleTime = std::chrono::milliseconds(500);
 
-/// Times that govern the choice.
+/// Parameters of the selection.
 struct SelectionPolicy
 {
-  /// An entry that vanished may come back this long: registrations that lapse
-  /// while the store is away return within two seconds, and an upstream that
-  /// left must get nothing two seconds later.
+  /// Time that an upstream remains selectable, as a last resort, after its
+  /// entry was removed. Registrations that expire while the store is
+  /// unavailable return within 2 s, and an upstream that left must receive no
+  /// calls after 2 s.
   Duration removalGrace_ = std::chrono::milliseconds(1500);
-  /// An upstream that failed a call is avoided this long, doubled with each
-  /// further failure.
+  /// Time that an upstream is avoided after a failed call; doubles with each
+  /// consecutive failure.
   Duration initialBackoff_ = std::chrono::milliseconds(300);
+  /// Upper bound of the doubled time.
   Duration maxBackoff_ = std::chrono::seconds(3);
-  /// An upstream that said it is full is avoided this long.
+  /// Time that an upstream is avoided after it reported that it is full.
   Duration fullBackoff_ = std::chrono::milliseconds(100);
-  /// A change of weights takes 0.9 s.
+  /// Time that an upstream is avoided while it loads weights (0.9 s).
   Duration loadingBackoff_ = std::chrono::milliseconds(600);
-  /// Weight of the newest observation in the smoothed pace.
+  /// Weight of the newest gap in the smoothed pace.
   double paceWeight_ = 0.2;
-  /// Longer gaps are no pace: a change of weights holds a stream up for 0.9 s.
+  /// Longer gaps between events are left out of the pace, because loading
+  /// weights interrupts a stream for 0.9 s.
   Duration maxEventGap_ = std::chrono::milliseconds(500);
-  /// A pace this many times the median of its service is slow.
+  /// An upstream is slow if its pace exceeds the median of its service by this
+  /// factor.
   double slowFactor_ = 1.8;
-  /// An upstream with calls in progress that lets nothing be heard for this
-  /// long, and for so many times its pace, is unresponsive: cut off, frozen,
-  /// loading or full. Streams make an event each 35 ms, plain calls take 25 to
-  /// 200 ms.
+  /// An upstream with calls in flight is unresponsive if none of them received
+  /// data for this long and for `idleTimeoutPaces_` times its pace: it is
+  /// unreachable, frozen, loading or full. Streams produce an event every 35
+  /// ms; plain calls take 25 to 200 ms.
   Duration idleTimeout_ = std::chrono::milliseconds(300);
   std::int64_t idleTimeoutPaces_ = 6;
 };
 
-/// One upstream and what this process knows of it.
+/// An upstream and the state that this process keeps for it.
 struct TrackedUpstream
 {
   UpstreamEntry entry_;
-  /// Calls of this process in progress.
+  /// Calls of this process in flight.
   std::uint32_t inFlight_ = 0;
-  /// Failures in a row.
+  /// Consecutive failures.
   std::uint32_t failures_ = 0;
+  /// Until then it receives no items, and calls only as a last resort.
   TimePoint avoidUntil_;
-  /// When the entry vanished; `kNever` while it is registered.
+  /// When the entry was removed; `kNever` while it is registered.
   TimePoint removedAt_ = kNever;
-  /// When it last let anything be heard, or its first call in progress began.
+  /// When data was last received from it, or a call began while none was in
+  /// flight.
   TimePoint lastReceivedAt_;
-  /// Smoothed time between two events of a stream; 0 is unknown.
+  /// Smoothed time between two events of a stream; 0 if unknown.
   Duration pace_{ 0 };
   std::map<std::string, WeightVersion> versions_;
-  /// Place in this process's own order of upstreams.
+  /// Orders upstreams that are otherwise equal; specific to this process.
   std::size_t tieBreak_ = 0;
 };
 
-/// What is asked of an upstream for an item.
+/// Requirements of an item on its upstream.
 struct ItemNeeds
 {
   ServiceId service_;
   std::string model_;
   WeightVersion minVersion_;
-  /// Preferred if it has a free slot: it holds the shared prompt.
+  /// Selected if it has a free slot, because it has the shared prompt cached.
   UpstreamId preferred_;
-  /// Never chosen.
+  /// Never selected.
   UpstreamId excluded_;
 };
 
-/// All upstreams of the fleet.
+/// All upstreams of the fleet. Not thread-safe.
 class UpstreamTable
 {
 public:
-  /// @param aSelf names this process; empty: the order is that of ids. Among
-  /// upstreams that are equal for it, each process has an order of its own,
-  /// which stays: with one order for all, the first upstream of a zone got five
-  /// times the mean of its service's calls, and the first models' upstreams 24
-  /// items for 6 places. Keeping to few upstreams also keeps connections in
-  /// use.
+  /// @param aSelf name of this process; if empty, ties are broken by upstream
+  /// id. Otherwise each process breaks ties in a fixed order of its own: with
+  /// one order for all processes, the first upstream of a zone received five
+  /// times the mean number of calls of its service, and the first upstreams of
+  /// a model 24 items for 6 slots. Preferring the same few upstreams also keeps
+  /// connections in use.
   explicit UpstreamTable(ZoneId aZone,
                          SelectionPolicy aPolicy = {},
                          std::string aSelf = {});
-  // Its order of upstreams refers to its own objects.
+  // Not copyable: the rankings point to elements of `upstreams_`.
   UpstreamTable(const UpstreamTable&) = delete;
   UpstreamTable& operator=(const UpstreamTable&) = delete;
   UpstreamTable(UpstreamTable&&) = default;
   UpstreamTable& operator=(UpstreamTable&&) = default;
   ~UpstreamTable() = default;
 
-  /// An upstream registered or changed. A restart clears all that is known of
-  /// it but the calls in progress, which their drivers settle.
+  /// Handles a new or changed registration. A restart discards the state of the
+  /// upstream except the count of calls in flight, which their owners end.
   EntryEffect OnEntry(UpstreamEntry aEntry);
-  /// An upstream's registration is gone.
+  /// Handles the removal of a registration.
   void OnRemoved(const UpstreamId& aId, TimePoint aNow);
-  /// The whole list was read: what is not in it has vanished.
-  /// @returns upstreams that have started again
+  /// Handles a complete list: entries that it does not contain were removed.
+  /// @returns upstreams that have restarted
   std::vector<UpstreamId> OnList(std::vector<UpstreamEntry> aEntries,
                                  TimePoint aNow);
 
   void OnStart(const UpstreamId& aId, TimePoint aNow);
   void OnEnd(const UpstreamId& aId, CallVerdict aVerdict, TimePoint aNow);
-  /// The upstream answered for another incarnation: this one is gone.
+  /// The upstream answered as another incarnation, so this one has ended.
   void OnReplaced(const UpstreamId& aId, TimePoint aNow);
-  /// Part of an answer came.
+  /// Part of an answer was received.
   void OnReceived(const UpstreamId& aId, TimePoint aNow);
-  /// An event of a stream came so long after the one before.
+  /// @param aGap time between the latest two events of a stream
   void OnPace(const UpstreamId& aId, Duration aGap);
-  /// The upstream showed its version of a model.
+  /// The upstream reported its weight version of a model.
   void OnVersion(const UpstreamId& aId,
                  const std::string& aModel,
                  WeightVersion aVersion);
 
-  /// Chooses for a request: fewest in flight a slot, own zone first, then this
-  /// process's own order.
-  /// @param aTried upstreams not to be chosen again
+  /// Selects an upstream for a request: the fewest calls in flight per slot,
+  /// then the local zone, then the tie-breaking order of this process.
+  /// @param aTried upstreams that must not be selected again
+  /// @returns nullptr if there is none
   [[nodiscard]] const TrackedUpstream* Pick(const ServiceId& aService,
                                             const std::set<UpstreamId>& aTried,
                                             TimePoint aNow) const;
-  /// Chooses for an item: a free slot at an upstream with the version.
-  /// @returns nullptr while none is free
+  /// Selects an upstream for an item: one with the required weight version and
+  /// a free slot.
+  /// @returns nullptr if there is none
   [[nodiscard]] const TrackedUpstream* PickForItem(const ItemNeeds& aNeeds,
                                                    TimePoint aNow) const;
-  /// @returns whether an upstream is much slower than its peers
+  /// @returns whether an upstream is much slower than the median of its service
   [[nodiscard]] bool Slow(const UpstreamId& aId) const;
-  /// @returns whether calls of this process are in progress at an upstream
-  /// and nothing of any of them was heard for a while
+  /// @returns whether calls of this process are in flight at an upstream and
+  /// none of them received data within the idle timeout
   [[nodiscard]] bool Unresponsive(const TrackedUpstream& aUpstream,
                                   TimePoint aNow) const noexcept;
   [[nodiscard]] const TrackedUpstream* Find(const UpstreamId& aId) const;
-  /// @returns how many upstreams all choices so far have looked at
+  /// @returns how many upstreams all selections so far have inspected
   [[nodiscard]] std::uint64_t InspectedCount() const noexcept
   {
     return inspected_;
   }
-  /// @returns whether the upstream may get new work
+  /// @returns whether the upstream may receive new calls
   [[nodiscard]] bool Usable(const TrackedUpstream& aUpstream,
                             TimePoint aNow) const noexcept;
 
 private:
-  /// Calls in flight a slot, this process's own order, id.
+  /// Calls in flight per slot, tie-breaking value, id.
   using Rank = std::tuple<double, std::size_t, UpstreamId>;
   using Ranking = std::map<Rank, const TrackedUpstream*>;
 
-  /// The upstreams of one service in the order in which they are chosen, so
-  /// that a choice looks at the first ones and not at the whole fleet.
+  /// The upstreams of one service in the order of selection, so that a
+  /// selection inspects the first ones instead of the whole fleet.
   struct Service
   {
     Ranking ranking_;
-    /// The same by model and version: after a version is named few hold it.
+    /// Rankings by model and weight version: few upstreams hold a version that
+    /// was just released.
     std::map<std::string, std::map<WeightVersion, Ranking>> models_;
     PaceMedian paces_;
   };
 
   [[nodiscard]] static Rank RankOf(const TrackedUpstream& aUpstream);
-  /// Takes an upstream out of its service, which a change of its rank or its
-  /// pace needs before, and back in after.
+  /// An upstream must be removed from the rankings before its rank or its pace
+  /// changes, and added again afterwards.
   void RemoveFromRankings(const TrackedUpstream& aUpstream);
   void AddToRankings(const TrackedUpstream& aUpstream);
   [[nodiscard]] const Service* FindService(const ServiceId& aService) const;
-  /// @returns the rankings of which an upstream for an item is chosen
+  /// @returns the rankings that contain the upstreams eligible for an item
   [[nodiscard]] std::vector<const Ranking*> RankingsFor(
     const ItemNeeds& aNeeds) const;
   [[nodiscard]] bool Fits(const TrackedUpstream& aUpstream,
@@ -236,9 +246,10 @@
   std::map<UpstreamId, TrackedUpstream> upstreams_;
   std::map<ServiceId, Service> services_;
   mutable std::uint64_t inspected_ = 0;
-  /// The newest start seen of each id that says when it started; outlives the
-  /// entry, so that an old one which comes late brings nothing back. Such ids
-  /// are those of the fleet's places and so stay few.
+  /// Latest known start of each id whose entry has one. Kept after the entry is
+  /// removed, so that a delayed entry of an earlier incarnation is ignored.
+  /// Such ids belong to fixed locations of the fleet and are reused after a
+  /// restart, so the map stays small.
   std::map<UpstreamId, UpstreamStart> latestStarts_;
 };
 
--- a/src/process/completion_cost.cpp
+++ b/src/process/completion_cost.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-/// A step's fixed part, in sequences: what a step of no sequence takes over
-/// what one more sequence adds.
+/// Fixed duration of a decoding step, relative to the time that each sequence
+/// of the batch adds to it.
 constexpr double kStepBase = 32;
-/// Weight of a token to prefill over one to generate; it holds up all requests
-/// that are there.
+/// Weight of a prefill token relative to a generated one. Prefill delays all
+/// requests at the upstream.
 constexpr double kPrefillUnits = 1.0 / 6;
-/// Share of a prompt that a cached prefix saves.
+/// Fraction of the prefill work that a cached prefix saves.
 constexpr double kPrefixShare = 0.75;
 
 } // namespace
--- a/src/process/completion_cost.hpp
+++ b/src/process/completion_cost.hpp
@@ -6,19 +6,20 @@
 
 namespace marjoramtally {
 
-/// @returns units of work that a request takes at this load: tokens times
-/// the requests that a step works through
+/// @returns units of work of a request at this load: tokens times the duration
+/// of a decoding step, in units of the time that one sequence adds to a step
 [[nodiscard]] double
 WorkUnits(double aTokens, double aLoad) noexcept;
 
-/// @returns requests expected at the upstream
+/// @returns expected number of requests at the upstream
 [[nodiscard]] double
 ExpectedLoad(const RoutedUpstream& aUpstream,
              const RouterTuning& aTuning,
              TimePoint aNow) noexcept;
 
-/// @param aCachedTrust trust, from 0 to 1, that the prefix is cached there
-/// @returns microseconds, with the delay that its prefill brings to others
+/// @param aCachedTrust trust, between 0 and 1, that the prefix is cached there
+/// @param aRemote whether the upstream is in another zone
+/// @returns microseconds, including the delay of other requests by the prefill
 [[nodiscard]] double
 CompletionCost(const RoutedUpstream& aUpstream,
                const RequestSpec& aRequest,
--- a/src/process/concurrency_limit.cpp
+++ b/src/process/concurrency_limit.cpp
@@ -8,13 +8,15 @@
 
 constexpr double kMinLimit = 1;
 constexpr double kMaxLimit = 4096;
-/// Growth by one answer: small limits of many entries must not double at
-/// once.
+/// Maximum increase per answer, so that the small limits of many entry
+/// processes do not all double at once.
 constexpr double kMaxIncrease = 0.25;
 constexpr double kShrinkFactor = 0.9;
-/// A live answer after this share of its time calls for less load.
+/// A live answer that takes more than this fraction of its deadline shrinks the
+/// limit.
 constexpr double kLateFraction = 0.95;
-/// One cause shows in many answers; it shrinks the limit once.
+/// Minimum time in microseconds between two reductions and before the next
+/// increase: one cause affects many answers but shrinks the limit once.
 constexpr Duration::rep kShrinkCooldownMicros = 500'000;
 constexpr auto kRelaxed = std::memory_order_relaxed;
 
--- a/src/process/load_estimate.cpp
+++ b/src/process/load_estimate.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
+/// A history entry holds the count in its lower bits and the span number above.
 constexpr unsigned kCountBits = 24;
 constexpr std::uint64_t kCountMask = (1U << kCountBits) - 1;
-/// A report of this age counts half.
+/// A report of this age has half the weight of a new one.
 constexpr double kHalfAgeMicros = 1e6;
 
 } // namespace
--- a/src/process/output_estimate.cpp
+++ b/src/process/output_estimate.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Cost of a prompt token against a generated one.
+/// Cost of a prompt token relative to a generated token.
 constexpr double kPromptTokenCost = 0.1;
-/// Weight of a new length in a flow's mean and in a prompt's mean.
+/// Weight of a new length in the moving mean of a flow and of a prompt.
 constexpr double kFlowGain = 0.05;
 constexpr double kPromptGain = 0.5;
-/// Prompts remembered; all are forgotten when there are more.
+/// Maximum number of prompts with a mean; the table is cleared when it is full.
 constexpr std::size_t kMaxPrompts = 16'384;
 
 std::string
--- a/src/process/prefix_hints.cpp
+++ b/src/process/prefix_hints.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// A hint of this age is trusted half.
+/// A hint of this age has half the trust of a new one.
 constexpr double kHalfAgeMicros = 20e6;
+/// A key holds half of the hash in its upper bits and the slot below.
 constexpr unsigned kHalfBits = 32;
 constexpr std::uint64_t kLowHalf = 0xffffffffULL;
 constexpr auto kRelaxed = std::memory_order_relaxed;
 
-/// Spreads hashes that are small numbers.
+/// Distributes small hash values over all bits.
 std::uint64_t
 Mix(std::uint64_t aPrefix) noexcept
 {
--- a/src/process/rcu_cell.cpp
+++ b/src/process/rcu_cell.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Registers a thread with liburcu for as long as it runs.
+/// Registers a thread with liburcu for its lifetime.
 struct ThreadRegistration
 {
   ThreadRegistration() { urcu_memb_register_thread(); }
--- a/src/process/router.cpp
+++ b/src/process/router.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Weight of the newest report in the mean over a service's upstreams.
+/// Weight of the newest report in the moving mean of a service.
 constexpr double kMeanWeight = 0.05;
-/// A queue that is longer than this part of the batch calls for less load.
+/// The concurrency limit shrinks when an upstream queues more than 1/8 of the
+/// requests that it runs.
 constexpr std::uint64_t kBatchToQueueRatio = 8;
-/// Versions change on many upstreams at once: their reports share a change
-/// of the routing state.
+/// Minimum time between two snapshots that are published for reports. Versions
+/// change on many upstreams at once, so their reports share one snapshot.
 constexpr Duration kPublishPeriod = std::chrono::milliseconds(100);
-/// An upstream of the first list is taken as warm.
+/// Age given to the upstreams of the first list, which skip slow start.
 constexpr Duration kWarmUpstreamAge = std::chrono::minutes(10);
 
 void
@@ -25,7 +26,7 @@
   aMean.store(mean + kMeanWeight * (aValue - mean), std::memory_order_relaxed);
 }
 
-/// Time of a unit of work, had the attempt ended now.
+/// @returns time per unit of work of an attempt that ends at `aNow`
 double
 MicrosPerUnit(const RoutedUpstream& aUpstream,
               const RequestSpec& aRequest,
@@ -40,7 +41,7 @@
   return std::max(took, 1.0) / WorkUnits(tokens, load);
 }
 
-/// Tells the adaptive limit of an answer.
+/// Updates the adaptive limit after an answer.
 void
 AdjustLimit(ConcurrencyLimit& aLimit,
             const RequestSpec& aRequest,
--- a/src/process/router_pick.cpp
+++ b/src/process/router_pick.cpp
@@ -1,5 +1,5 @@
-/// The path of a request: no lock, and work that does not grow with the
-/// fleet.
+/// Selection of an upstream on the request path: lock-free, at a cost that does
+/// not depend on the fleet size.
 
 #include "marjoramtally/process/router.hpp"
 #include "process/completion_cost.hpp"
@@ -11,29 +11,29 @@
 
 namespace {
 
-/// Draws made when those before found none that may take the request.
+/// Further upstreams examined when no drawn candidate accepts the request.
 constexpr std::size_t kMaxFallbackCandidates = 28;
-/// Of four draws, those in our own zone if it has upstreams.
+/// Three of four draws are made in the local zone if it has upstreams.
 constexpr std::uint64_t kZoneDrawRange = 4;
 constexpr std::uint64_t kLocalZoneDraws = 3;
-/// One in so many requests tests an upstream on probation, if it sees one.
+/// One in this many requests may probe an upstream on probation.
 constexpr std::uint64_t kProbeOneIn = 32;
 
-/// Why an upstream may or may not take a request; the best first.
+/// Rank of a candidate, best first.
 enum class CandidateRank : std::uint8_t
 {
-  /// On probation and due for a test.
+  /// On probation and due for a probe.
   Probe,
   Open,
-  /// It failed this request before.
+  /// It has already failed this request.
   Tried,
-  /// Ejected: taken only if all that were seen are.
+  /// Ejected: selected only if all examined candidates are ejected.
   Ejected,
-  /// At its limit.
+  /// At its concurrency limit.
   Full,
 };
 
-/// The best of the candidates seen so remote.
+/// Keeps the best candidate considered so far.
 class CandidateSelection
 {
 public:
@@ -73,8 +73,8 @@
     return best_ != nullptr && bestRank_ <= CandidateRank::Open;
   }
 
-  /// @returns the best, or null; waiting for a full upstream is better than
-  /// an ejected one
+  /// @returns the best candidate, or null. A request waits for a full upstream
+  /// rather than use an ejected one.
   [[nodiscard]] UpstreamPtr Best() const
   {
     const bool wait = bestRank_ == CandidateRank::Ejected && sawFull_;
@@ -123,7 +123,7 @@
   bool sawFull_ = false;
 };
 
-/// The part of a pool that is eligible by version.
+/// Pool members with a sufficient weight version.
 struct Eligible
 {
   std::span<const PoolMember> local_;
@@ -135,7 +135,7 @@
   }
 };
 
-/// Trust that a hint gives to an upstream; 0 without hint.
+/// @returns the trust that hints give to an upstream; 0 without a hint
 double
 TrustOf(const PrefixHints::Hints& aHints, UpstreamSlot aSlot) noexcept
 {
@@ -147,7 +147,7 @@
   return 0;
 }
 
-/// Considers one member by its place, the local ones first.
+/// Considers the member at an index, counting the local zone first.
 void
 ConsiderAt(CandidateSelection& aSelection,
            const Eligible& aEligible,
@@ -161,7 +161,7 @@
   aSelection.Consider(upstream, TrustOf(aHints, upstream->slot_), remote);
 }
 
-/// @returns the place of a member drawn at random, local ones more often
+/// @returns the index of a random member, with a preference for the local zone
 std::size_t
 Draw(const Eligible& aEligible, Random& aRandom)
 {
@@ -173,8 +173,8 @@
            : aEligible.local_.size() + aRandom.Below(aEligible.remote_.size());
 }
 
-/// Considers members until enough were seen, and some more if none of them
-/// may take the request.
+/// Considers random members, and further ones if none of them accepts the
+/// request.
 void
 ConsiderSample(CandidateSelection& aSelection,
                const Eligible& aEligible,
--- a/src/process/routing_snapshot.hpp
+++ b/src/process/routing_snapshot.hpp
@@ -1,5 +1,5 @@
-/// Immutable routing state, read under RCU: upstreams that may be chosen,
-/// by service and model.
+/// Immutable routing state, read under RCU: selectable upstreams by service and
+/// model.
 #pragma once
 
 #include "marjoramtally/process/concurrency_limit.hpp"
@@ -13,7 +13,7 @@
 
 namespace marjoramtally {
 
-/// What changes with each request, in atomics.
+/// State that changes with each request, held in atomics.
 struct UpstreamState
 {
   explicit UpstreamState(TimePoint aSeenAt) noexcept
@@ -26,11 +26,12 @@
   ConcurrencyLimit limit_;
 };
 
-/// What all upstreams of a service share.
+/// State shared by all upstreams of a service.
 struct ServiceState
 {
   TypicalUnitTime typicalUnitTime_;
-  /// Mean of what other entries keep at an upstream.
+  /// Moving mean of the requests that other entry processes have at an
+  /// upstream.
   std::atomic<double> meanOthers_{ 0 };
 };
 
@@ -50,26 +51,28 @@
 
 using RoutedPtr = std::shared_ptr<const RoutedUpstream>;
 
-/// An upstream and the version of the pool's model there.
+/// An upstream and its weight version of the model of the pool.
 struct PoolMember
 {
   WeightVersion version_;
   RoutedPtr upstream_;
 };
 
-/// Upstreams that are not leaving, the latest versions first.
+/// Upstreams that may receive new requests, latest weight version first.
 struct Pool
 {
-  /// In our zone.
+  /// In the zone of this process.
   std::vector<PoolMember> local_;
+  /// In other zones.
   std::vector<PoolMember> remote_;
 };
 
-/// @returns the members of at least this version
+/// @returns the members with at least this version
 [[nodiscard]] std::span<const PoolMember>
 AtLeast(const std::vector<PoolMember>& aMembers, WeightVersion aMin) noexcept;
 
-/// Pools of one service; those of the empty model hold all its upstreams.
+/// Pools of one service by model; the pool of the empty name holds all its
+/// upstreams.
 using ServicePools = std::unordered_map<std::string, Pool>;
 
 struct RoutingSnapshot
@@ -81,12 +84,12 @@
   /// @returns null if no upstream serves the model
   [[nodiscard]] const Pool* FindPool(const ServiceId& aService,
                                      const std::string& aModel) const;
-  /// @returns null if it is not known
+  /// @returns null if the upstream is unknown
   [[nodiscard]] const RoutedUpstream* Find(const UpstreamId& aId) const;
 };
 
-/// Builds the pools.
-/// @param aZone the zone that is near
+/// Builds a snapshot with its pools.
+/// @param aZone the local zone
 [[nodiscard]] std::unique_ptr<const RoutingSnapshot>
 BuildSnapshot(const std::map<UpstreamId, RoutedPtr>& aUpstreams,
               const ZoneId& aZone);
--- a/src/process/straggler.cpp
+++ b/src/process/straggler.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Part by which the bound of lengths sinks with each shorter answer.
+/// Decay of the maximum length ratio per answer.
 constexpr double kMaxLengthDecay = 0.002;
 
 } // namespace
--- a/src/process/upstream.cpp
+++ b/src/process/upstream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Marks kept of one name; older ones are of starts long gone.
+/// Older marks belong to incarnations that ended long ago.
 constexpr std::size_t kMaxMarksPerUpstream = 4;
 
 } // namespace
--- a/src/process/upstream_health.cpp
+++ b/src/process/upstream_health.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
+/// Factor by which each sample moves the running median.
 constexpr double kMedianStep = 1.02;
-/// Weight of the newest speed.
+/// Weight of the newest sample in the smoothed time per unit.
 constexpr double kSampleWeight = 0.1;
-/// Weight of the newest gap between answers.
+/// Weight of the newest gap in the smoothed time between answers.
 constexpr double kGapWeight = 0.1;
-/// An upstream this many times slower than usual is an outlier.
+/// An upstream this many times slower than the typical one is an outlier.
 constexpr double kOutlierFactor = 3.0;
 constexpr std::uint32_t kMinSamplesToEject = 5;
 constexpr std::uint32_t kFailuresToEject = 2;
 constexpr Duration kBaseEjectionTime = std::chrono::seconds(2);
 constexpr std::uint32_t kMaxDoublings = 4;
-/// Answers to come before an upstream on probation is trusted.
+/// Answers required before probation ends.
 constexpr std::uint32_t kMinSamplesToTrust = 5;
 constexpr Duration kSlowStartPeriod = std::chrono::milliseconds(500);
 constexpr std::uint64_t kSlowStartInitialLimit = 2;
 constexpr std::uint32_t kSlowStartPeriods = 8;
-/// Gaps between answers this many times the usual are nothing special.
+/// An upstream is stalled after this many smoothed gaps without an answer.
 constexpr double kStallGaps = 4.0;
+/// Lower bound of the gap in the stall check.
 constexpr double kMinGapMicros = 20'000;
-
-/// What is known of a speed counts half after this time without an answer, so
-/// that an upstream that was slow once is tried again.
+/// Without samples for this long, the difference from the typical time counts
+/// half, so that an upstream that was slow once is tried again.
 constexpr double kHalfAgeMicros = 10e6;
 
 constexpr auto kRelaxed = std::memory_order_relaxed;
--- a/src/process/upstream_table.cpp
+++ b/src/process/upstream_table.cpp
@@ -102,7 +102,8 @@
     WeightVersion& newest = upstream.versions_[model.model_];
     newest = std::max(newest, model.version_);
   }
-  // A leaving mark holds for the incarnation, also against an older entry.
+  // A leaving mark is permanent for the incarnation; an older entry does not
+  // clear it.
   const bool draining = upstream.entry_.draining_ || aEntry.draining_;
   upstream.entry_ = std::move(aEntry);
   upstream.entry_.draining_ = draining;
@@ -117,7 +118,8 @@
   if (it != upstreams_.end() && it->second.removedAt_ == kNever) {
     it->second.removedAt_ = aNow;
   }
-  // What vanished long ago and has nothing in flight is forgotten.
+  // Drops entries whose grace period has expired and that have no calls in
+  // flight.
   std::erase_if(upstreams_, [&](const auto& aEntry) {
     const TrackedUpstream& upstream = aEntry.second;
     const bool forgotten = upstream.removedAt_ != kNever &&
@@ -292,7 +294,8 @@
   const TrackedUpstream* best = nullptr;
   std::tuple<bool, bool, bool, double, bool, std::size_t> bestRank;
   for (const auto& [listed, upstream] : service->ranking_) {
-    // None that follows has less in flight or lies nearer.
+    // Stops when no later upstream has a lower load or, at the same load, a
+    // better zone.
     const auto& [vanished, avoided, unresponsive, load, far, order] = bestRank;
     if (best != nullptr && !vanished && !avoided && !unresponsive &&
         (!far || std::get<0>(listed) > load)) {
--- a/tests/rollout_play.hpp
+++ b/tests/rollout_play.hpp
@@ -1,7 +1,7 @@
 /// Plays training steps on a fleet in simulated time: the real plan of weights,
-/// a real ledger for each step and a real table for its owner, on upstreams
-/// that share their slots, slow down as they fill and stand still while weights
-/// change.
+/// a real ledger for each step and a real upstream table for its owner, on
+/// upstreams that share their slots, slow down as they fill and stand still
+/// while weights change.
 #pragma once
 
 #include "marjoramtally/process.hpp"
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::uint64_t kTokens = 30;
 
-/// Routing of one service with a paused clock. Each upstream answers as fast
-/// as the test says.
+/// A router with one service and a manual clock. The test sets the response
+/// time of each upstream.
 struct RouterFixture
 {
   explicit RouterFixture(std::size_t aUpstreams, RouterTuning aTuning = {})
@@ -69,8 +69,9 @@
     router_.OnDone(aId, spec_, done, now_);
   }
 
-  /// One request after the other; those at the slow upstream take longer.
-  /// @returns requests that went there
+  /// Sends requests one after the other; those at the slow upstream take
+  /// longer.
+  /// @returns number of requests sent to the slow upstream
   std::size_t Serve(std::size_t aRequests,
                     const UpstreamId& aSlow,
                     Duration aSlowTime)
@@ -98,7 +99,7 @@
 
 } // namespace
 
-TEST_CASE("only upstreams of a fresh enough version are eligible")
+TEST_CASE("only upstreams with a sufficient weight version are eligible")
 {
   RouterFixture fixture(8);
   fixture.spec_.model_ = "m";
@@ -120,7 +121,7 @@
   CHECK_FALSE(fixture.Pick());
 }
 
-TEST_CASE("a leaving mark is not undone by a stale list or report")
+TEST_CASE("a stale list or report does not clear a leaving mark")
 {
   RouterFixture fixture(1);
   REQUIRE(fixture.Pick());
@@ -155,7 +156,7 @@
   CHECK(fixture.Pick());
 }
 
-TEST_CASE("operators drain an upstream and put it back")
+TEST_CASE("operators can drain an upstream and return it to service")
 {
   RouterFixture fixture(1);
   fixture.views_[0].drained_ = true;
@@ -165,13 +166,13 @@
   fixture.views_[0].drained_ = false;
   fixture.Apply();
   CHECK(fixture.Pick());
-  // What it says itself still holds for good.
+  // Its own leaving mark remains permanent.
   fixture.router_.MarkLeaving(RouterFixture::Id(0), fixture.now_);
   fixture.Apply();
   CHECK_FALSE(fixture.Pick());
 }
 
-TEST_CASE("limits of rules bind each upstream")
+TEST_CASE("the limit of the rules applies to each upstream")
 {
   RouterFixture fixture(1);
   fixture.views_[0].limit_ = 2;
@@ -184,7 +185,9 @@
   CHECK(fixture.Send());
 }
 
-TEST_CASE("what was sent since a late report counts: no herd on the idlest")
+TEST_CASE(
+  "requests sent since a delayed report count, so that the idlest upstream "
+  "is not overloaded")
 {
   RouterFixture fixture(3);
   fixture.Report(0, 0, seconds(1));
@@ -219,7 +222,8 @@
   CHECK(load.Others() == 2);
 }
 
-TEST_CASE("a slow upstream of nine loses its work and gets it back when well")
+TEST_CASE(
+  "a slow upstream of nine loses its traffic and regains it after recovery")
 {
   RouterFixture fixture(9);
   const UpstreamId slow = RouterFixture::Id(4);
@@ -233,7 +237,7 @@
   CHECK(fixture.Serve(1000, slow, milliseconds(10)) > 40);
 }
 
-TEST_CASE("an upstream that stops answering loses its work without an answer")
+TEST_CASE("an upstream that stops answering loses its traffic")
 {
   RouterFixture fixture(3);
   static_cast<void>(fixture.Serve(100, RouterFixture::Id(0), milliseconds(10)));
@@ -253,8 +257,9 @@
   CHECK(stuck < 15);
 }
 
-TEST_CASE("a crash mid-flight: the retry goes elsewhere, then the upstream is "
-          "ejected")
+TEST_CASE(
+  "after a crash the retry goes to another upstream and the crashed one "
+  "is ejected")
 {
   RouterFixture fixture(2);
   const TimePoint sentAt = fixture.now_;
@@ -275,7 +280,7 @@
   }
 }
 
-TEST_CASE("ejected upstreams still serve when there is no other")
+TEST_CASE("an ejected upstream serves when there is no other")
 {
   RouterFixture fixture(1);
   for (int i = 0; i < 3; ++i) {
@@ -285,7 +290,7 @@
   CHECK(fixture.Pick());
 }
 
-TEST_CASE("a new upstream starts slowly")
+TEST_CASE("a new upstream is in slow start")
 {
   RouterFixture fixture(1);
   UpstreamView added = fixture.views_[0];
@@ -306,7 +311,7 @@
   CHECK(sent == 8);
 }
 
-TEST_CASE("a cached prefix attracts, an old hint or a loaded upstream less so")
+TEST_CASE("a cached prefix attracts requests unless the upstream is loaded")
 {
   RouterFixture fixture(4);
   fixture.spec_.promptTokens_ = 2000;
@@ -322,7 +327,7 @@
   CHECK(fixture.Pick()->id_ == RouterFixture::Id(0));
 }
 
-TEST_CASE("the adaptive limit shrinks once for each cause and grows by use")
+TEST_CASE("the adaptive limit shrinks once per cause and grows with use")
 {
   ConcurrencyLimit limit;
   TimePoint now{ seconds(1) };
@@ -342,7 +347,8 @@
   CHECK(limit.Get() == shrunk);
 }
 
-TEST_CASE("polling is bounded however large the fleet is, and spares none")
+TEST_CASE(
+  "polling is bounded in a large fleet and reaches all upstreams of the zone")
 {
   constexpr std::size_t kUpstreams = 1600;
   constexpr std::size_t kZones = 12;
--- a/tests/test_straggler.cpp
+++ b/tests/test_straggler.cpp
@@ -12,7 +12,7 @@
   return TimePoint{ std::chrono::milliseconds(aMillis) };
 }
 
-/// Teaches 10 ms a token and lengths of 50 to 100 tokens.
+/// Trains the policy with 10 ms per token and lengths of 50 and 100 tokens.
 void
 TrainPolicy(StragglerPolicy& aPolicy)
 {
@@ -26,13 +26,13 @@
 
 } // namespace
 
-TEST_CASE("a slow member is resumed elsewhere, a long one is left alone")
+TEST_CASE("a slow member is resumed elsewhere, a long one continues")
 {
   StragglerPolicy policy;
   TrainPolicy(policy);
   policy.OnStarted({ TicketId{ 1 }, 1, 100, true }, At(0));
   policy.OnStarted({ TicketId{ 2 }, 1, 100, true }, At(0));
-  // Both have run 5 s: one has 480 tokens, the other 40.
+  // Both have run for 5 s: one has 480 tokens, the other 40.
   policy.OnProgress(TicketId{ 1 }, 480);
   policy.OnProgress(TicketId{ 2 }, 40);
   const auto actions = policy.Review(At(5000), 8);
@@ -42,11 +42,12 @@
   CHECK(policy.Review(At(6000), 8).empty());
 }
 
-TEST_CASE("hedges keep to the budget and to idle slots, the latest first")
+TEST_CASE(
+  "hedges stay within the budget and the idle slots, latest member first")
 {
   StragglerPolicy policy;
   TrainPolicy(policy);
-  // 15,000 tokens generated: 4% pay for six second runs of 100.
+  // 15,000 tokens were generated; 4% of them allow six second runs of 100.
   for (std::uint64_t i = 1; i <= 20; ++i) {
     policy.OnStarted({ TicketId{ i }, i, 100, false },
                      At(static_cast<std::int64_t>(i)));
@@ -59,7 +60,7 @@
   CHECK(first.front().kind_ == StragglerAction::Kind::Hedge);
   CHECK(policy.Review(At(5000), 100).size() == 4);
   CHECK(policy.Review(At(5000), 100).empty());
-  // A hedge that ended without waste gives its pledge back.
+  // A hedge that ended without discarded tokens releases its reservation.
   policy.OnEnded(TicketId{ 1 }, std::nullopt, At(5100));
   CHECK(policy.Review(At(5200), 100).size() == 1);
   policy.OnWasted(1000);
--- a/tests/test_time_share_limiter.cpp
+++ b/tests/test_time_share_limiter.cpp
@@ -1,4 +1,4 @@
-/// Work that holds up its loop, at a bounded share of the time.
+/// Limits the share of time of work that blocks its event loop.
 
 #include "marjoramtally/process.hpp"
 
@@ -7,14 +7,14 @@
 using namespace marjoramtally;
 using namespace std::chrono_literals;
 
-TEST_CASE("work is put off in proportion to the time that it takes")
+TEST_CASE("work is delayed in proportion to the time that it takes")
 {
   TimeShareLimiter pace(0.125);
   const TimePoint start{ 100s };
   REQUIRE(pace.NextAt() <= start);
   pace.OnDone(start, start + 10ms);
   REQUIRE(pace.NextAt() == start + 80ms);
-  // What takes no time is not put off.
+  // Work that takes no time is not delayed.
   pace.OnDone(start + 80ms, start + 80ms);
   REQUIRE(pace.NextAt() == start + 80ms);
 }
--- a/tests/test_upstream_choice.cpp
+++ b/tests/test_upstream_choice.cpp
@@ -1,5 +1,5 @@
-/// The choice of an upstream: what it costs in a large fleet, and that the
-/// order in which upstreams are kept chooses as a look at all of them does.
+/// Selection of an upstream: its cost in a large fleet, and that the rankings
+/// give the same result as an exhaustive search.
 
 #include "marjoramtally/process.hpp"
 
@@ -43,8 +43,8 @@
   return table;
 }
 
-/// Places the items of a step and looks after them as they run.
-/// @returns upstreams looked at
+/// Places the items of a step and checks their upstreams as they run.
+/// @returns number of upstreams inspected
 std::uint64_t
 PlaceStep(UpstreamTable& aTable, std::size_t aItems)
 {
@@ -68,7 +68,7 @@
   return static_cast<double>(aUpstream.inFlight_) / aUpstream.entry_.slots_;
 }
 
-/// Chooses by a look at all upstreams.
+/// Reference selection that examines all upstreams.
 struct ExhaustiveSearch
 {
   const UpstreamTable& upstreamTable_;
@@ -140,10 +140,12 @@
 
 } // namespace
 
-// The owner of a step's items looked at all 3,000 upstreams for each item that
-// it placed and for each run in progress, eight times a second, and so fell
-// behind the events of its runs: trainers' steps came 2 to 5 s late.
-TEST_CASE("placing items costs no more looks in a fleet a hundred times larger")
+// Guards against a selection that inspects the whole fleet. The owner of a step
+// inspected all 3,000 upstreams for each item that it placed and, eight times a
+// second, for each run in progress. It fell behind the events of its runs, and
+// steps of trainers finished 2 to 5 s late.
+TEST_CASE(
+  "placing items inspects no more upstreams in a fleet a hundred times larger")
 {
   constexpr std::size_t kItems = 128;
   UpstreamTable small = MakeFleet(60);
@@ -154,7 +156,7 @@
   REQUIRE(many <= 20 * kItems);
 }
 
-TEST_CASE("the choice is that of a look at all upstreams")
+TEST_CASE("the selection equals that of an exhaustive search")
 {
   const std::uint64_t seed = GENERATE(range(1, 21));
   Random random(seed);
--- a/tests/test_upstream_table.cpp
+++ b/tests/test_upstream_table.cpp
@@ -1,4 +1,4 @@
-/// Routes and the choice of upstreams.
+/// Routes and the selection of upstreams.
 
 #include "marjoramtally/process.hpp"
 
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("the route with the longest prefix of the host's routes wins")
+TEST_CASE("the route of the host with the longest prefix matches")
 {
   RouteTable table;
   REQUIRE_FALSE(table.HasConfig());
@@ -84,9 +84,9 @@
   REQUIRE(table.Match("other", "/a/b") == nullptr);
 }
 
-TEST_CASE("the table finds the route that a search of all routes finds")
+TEST_CASE("the table finds the same route as a linear search")
 {
-  // Few letters and many routes, so that prefixes nest.
+  // A small alphabet and many routes produce nested prefixes.
   Random random(17);
   const auto part = [&random] {
     return std::string(1, static_cast<char>('a' + random.Below(3))) + "/";
@@ -125,7 +125,7 @@
   }
 }
 
-TEST_CASE("an older configuration never comes back in force")
+TEST_CASE("an older configuration does not replace a newer one")
 {
   RouteTable table;
   RoutingConfig config;
@@ -138,7 +138,7 @@
   REQUIRE(table.Match("h", "/a/") != nullptr);
 }
 
-TEST_CASE("a split draws its services by their weights")
+TEST_CASE("a traffic split selects services by their weights")
 {
   Route route = MakeRoute("r", "/");
   route.services_ = { { ServiceId{ "x" }, 90 }, { ServiceId{ "y" }, 10 } };
@@ -150,7 +150,7 @@
   REQUIRE(DrawService(MakeRoute("none", "/"), 5) == ServiceId{});
 }
 
-TEST_CASE("a request goes to the least loaded, own zone first")
+TEST_CASE("a request goes to the least loaded upstream, local zone first")
 {
   UpstreamTable table =
     MakeTable({ MakeEntry("far", "z2"), MakeEntry("near") });
@@ -160,7 +160,7 @@
   REQUIRE(PickId(table, kStart, { UpstreamId{ "far" } }) == "near");
 }
 
-TEST_CASE("a leaving mark holds for the incarnation")
+TEST_CASE("a leaving mark is permanent for the incarnation")
 {
   UpstreamTable table = MakeTable({ MakeEntry("a") });
   UpstreamEntry leaving = MakeEntry("a");
@@ -171,7 +171,7 @@
   REQUIRE(PickId(table).empty());
 }
 
-TEST_CASE("a restart under the same id clears what was known before")
+TEST_CASE("a restart under the same id discards the previous state")
 {
   UpstreamEntry entry = MakeEntry("a", "z1", 7);
   entry.start_ = UpstreamStart{ 1000 };
@@ -193,7 +193,7 @@
   REQUIRE(upstream->failures_ == 0);
   REQUIRE(upstream->avoidUntil_ <= kStart);
   REQUIRE(upstream->pace_ == 0ms);
-  // The call in progress is its driver's to settle.
+  // The owner of the call in flight ends it.
   REQUIRE(upstream->inFlight_ == 1);
   REQUIRE(table.PickForItem(Needs(7), kStart) == nullptr);
   REQUIRE(table.PickForItem(Needs(6), kStart) != nullptr);
@@ -210,7 +210,7 @@
   REQUIRE(table.OnEntry(old) == EntryEffect::Outdated);
   REQUIRE(table.Find(old.id_)->versions_.at("m") == WeightVersion{ 3 });
   REQUIRE(table.Find(old.id_)->entry_.address_ == "127.0.0.1:1");
-  // Nor after the newer one has vanished and been forgotten.
+  // It is also ignored after the newer entry was removed and dropped.
   table.OnRemoved(old.id_, kStart);
   table.OnRemoved(UpstreamId{ "other" }, kStart + 5s);
   REQUIRE(table.Find(old.id_) == nullptr);
@@ -218,7 +218,7 @@
   REQUIRE(PickId(table, kStart + 5s).empty());
 }
 
-TEST_CASE("an incarnation that comes back keeps what was known of it")
+TEST_CASE("an incarnation that registers again keeps its state")
 {
   UpstreamEntry entry = MakeEntry("a", "z1", 3);
   entry.start_ = UpstreamStart{ 1000 };
@@ -229,7 +229,7 @@
   REQUIRE(table.Find(entry.id_)->versions_.at("m") == WeightVersion{ 4 });
 }
 
-TEST_CASE("a whole list tells which upstreams have started again")
+TEST_CASE("a complete list shows which upstreams have restarted")
 {
   UpstreamEntry a = MakeEntry("a");
   a.start_ = UpstreamStart{ 1000 };
@@ -241,7 +241,7 @@
           std::vector<UpstreamId>{ UpstreamId{ "b" } });
 }
 
-TEST_CASE("an entry that vanished gets no work once its grace is over")
+TEST_CASE("a removed entry receives no calls after its grace period")
 {
   UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b", "z2") });
   table.OnRemoved(UpstreamId{ "a" }, kStart);
@@ -249,12 +249,13 @@
   REQUIRE(PickId(table, kStart, { UpstreamId{ "b" } }) == "a");
   const TimePoint late = kStart + SelectionPolicy{}.removalGrace_;
   REQUIRE(PickId(table, late, { UpstreamId{ "b" } }).empty());
-  // It was back: a lapse while the store was away.
+  // It is registered again after its lease expired while the store was
+  // unavailable.
   table.OnEntry(MakeEntry("a"));
   REQUIRE(PickId(table, late, { UpstreamId{ "b" } }) == "a");
 }
 
-TEST_CASE("a whole list tells what has vanished")
+TEST_CASE("a complete list shows which entries were removed")
 {
   UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b") });
   table.OnList({ MakeEntry("b") }, kStart);
@@ -263,7 +264,7 @@
   REQUIRE(PickId(table, late, { UpstreamId{ "b" } }).empty());
 }
 
-TEST_CASE("an upstream that fails is avoided while there is another")
+TEST_CASE("a failed upstream is avoided while there is another")
 {
   UpstreamTable table = MakeTable({ MakeEntry("a"), MakeEntry("b", "z2") });
   table.OnStart(UpstreamId{ "a" }, kStart);
@@ -273,7 +274,7 @@
   REQUIRE(PickId(table, kStart + 1s) == "a");
 }
 
-TEST_CASE("an item goes only where its version is and a slot is free")
+TEST_CASE("an item requires its weight version and a free slot")
 {
   UpstreamTable table =
     MakeTable({ MakeEntry("old", "z1", 4), MakeEntry("new", "z1", 5) });
@@ -288,7 +289,9 @@
           UpstreamId{ "old" });
 }
 
-TEST_CASE("an item prefers the upstream that holds its prompt, unless slow")
+TEST_CASE(
+  "an item prefers the upstream that has its prompt cached, unless it is "
+  "slow")
 {
   UpstreamTable table =
     MakeTable({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
@@ -305,7 +308,7 @@
           UpstreamId{ "a" });
 }
 
-TEST_CASE("a stream held up by a change of weights does not look slow")
+TEST_CASE("an interruption by loading weights does not make an upstream slow")
 {
   UpstreamTable table =
     MakeTable({ MakeEntry("a"), MakeEntry("b"), MakeEntry("c") });
@@ -316,7 +319,7 @@
   REQUIRE_FALSE(table.Slow(UpstreamId{ "a" }));
 }
 
-TEST_CASE("an upstream that lets nothing be heard is chosen last")
+TEST_CASE("an unresponsive upstream is selected last")
 {
   UpstreamTable table(ZoneId{ "z" });
   for (const char* name : { "a", "b" }) {
@@ -343,12 +346,12 @@
   REQUIRE(pickForItem(350ms) == "b");
   table.OnReceived(UpstreamId{ "a" }, kStart + 350ms);
   REQUIRE(pick(360ms) == "a");
-  // One with nothing in progress owes nothing.
+  // Without calls in flight it is not unresponsive.
   table.OnEnd(UpstreamId{ "a" }, CallVerdict::Abandoned, kStart + 400ms);
   REQUIRE(pick(10s) == "a");
 }
 
-TEST_CASE("a slow pace is not taken for silence")
+TEST_CASE("a slow pace does not make an upstream unresponsive")
 {
   UpstreamTable table(ZoneId{ "z" });
   UpstreamEntry entry;
@@ -364,8 +367,8 @@
 
 namespace {
 
-/// A table of one of many processes of a zone, which sees the same upstreams
-/// as all others.
+/// The table of one of many processes of a zone, all of which know the same
+/// upstreams.
 UpstreamTable
 MakeTableOf(int aProcess, int aUpstreams, std::uint32_t aSlots)
 {
@@ -381,9 +384,10 @@
 
 } // namespace
 
-TEST_CASE("calls of many processes are spread, each keeps to its upstream")
+TEST_CASE(
+  "calls of many processes are spread, and each process keeps its upstream")
 {
-  // Fifty processes of a zone with six upstreams, one call each at a time.
+  // 50 processes and 6 upstreams in a zone, one call at a time per process.
   std::map<std::string, int> calls;
   for (int process = 0; process < 50; ++process) {
     UpstreamTable table = MakeTableOf(process, 6, 6);
@@ -398,15 +402,17 @@
   REQUIRE(calls.size() == 6);
   for (const auto& [id, count] : calls) {
     CAPTURE(id, count);
-    // The mean is 167; with one order for all processes one got 1,000.
+    // The mean is 167; with one order for all processes, one upstream received
+    // all 1,000 calls.
     REQUIRE(count <= 300);
   }
 }
 
-TEST_CASE("items of several owners meet at few upstreams")
+TEST_CASE("items of several owners are spread over the upstreams")
 {
-  // Eight owners place 120 items each on 77 upstreams of six places: a mean of
-  // 12.5. With one order for all, each owner's second items met at the first.
+  // 8 owners place 120 items each on 77 upstreams with 6 slots: a mean of 12.5.
+  // With one order for all processes, the second items of all owners went to
+  // the first upstreams.
   std::map<std::string, int> items;
   for (int owner = 0; owner < 8; ++owner) {
     UpstreamTable table = MakeTableOf(owner, 77, 6);
