--- a/src/process/output_estimate.cpp
+++ b/src/process/output_estimate.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Cost of a prompt token against a generated one.
+/// Cost of a prompt token relative to a generated token.
 constexpr double kPromptTokenCost = 0.1;
-/// Weight of a new length in a flow's mean and in a prompt's mean.
+/// Weight of a new length in the moving mean of a flow and of a prompt.
 constexpr double kFlowGain = 0.05;
 constexpr double kPromptGain = 0.5;
-/// Prompts remembered; all are forgotten when there are more.
+/// Maximum number of prompts with a mean; the table is cleared when it is full.
 constexpr std::size_t kMaxPrompts = 16'384;
 
 std::string
@@ -24,10 +24,10 @@
 
 template<typename Key>
 void
-Move(std::unordered_map<Key, double>& aMeans,
-     const Key& aKey,
-     double aValue,
-     double aGain)
+UpdateMean(std::unordered_map<Key, double>& aMeans,
+           const Key& aKey,
+           double aValue,
+           double aGain)
 {
   const auto [it, fresh] = aMeans.emplace(aKey, aValue);
   if (!fresh) {
@@ -68,12 +68,12 @@
 OutputEstimate::Learn(const RequestSpec& aRequest, std::uint64_t aTokens)
 {
   const auto tokens = static_cast<double>(aTokens);
-  Move(byFlow_, FlowOf(aRequest), tokens, kFlowGain);
+  UpdateMean(byFlow_, FlowOf(aRequest), tokens, kFlowGain);
   if (aRequest.prefixHash_ != 0) {
     if (byPrompt_.size() >= kMaxPrompts) {
       byPrompt_.clear();
     }
-    Move(byPrompt_, aRequest.prefixHash_, tokens, kPromptGain);
+    UpdateMean(byPrompt_, aRequest.prefixHash_, tokens, kPromptGain);
   }
   return CostOf(aRequest, tokens);
 }
