--- a/examples/embed_ledger.cpp
+++ b/examples/embed_ledger.cpp
@@ -34,7 +34,7 @@
     sample.text_ = "a draft";
     sample.tokens_ = kTokens;
     sample.spans_ = { { kVersion, 0, kTokens } };
-    aLedger.Generated(sample, aClock.Now());
+    aLedger.OnGenerated(sample, aClock.Now());
   }
 }
 
@@ -42,7 +42,7 @@
 std::vector<Sample>
 Answer(TrainerLedger& aLedger, const TakeSpec& aTake, const Clock& aClock)
 {
-  if (aLedger.Accept(aTake, aClock.Now()) != TakeVerdict::Present) {
+  if (aLedger.Accept(aTake, aClock.Now()) != TakeVerdict::Current) {
     return {};
   }
   return aLedger.Collect(aTake, aClock.Now()).samples_;
@@ -66,7 +66,7 @@
   clock.Advance(std::chrono::seconds(1));
   const TakeSpec take = trainer.Next(kVersion, kSamples);
   const auto got = trainer.OnAnswer(take.number_, Answer(ledger, take, clock));
-  ok = ok && got.size() == kSamples && trainer.Whole();
+  ok = ok && got.size() == kSamples && trainer.IsComplete();
 
   // The first answer comes after all: it is void, and nothing is doubled.
   ok = ok && late.size() == kSamples;
--- a/include/marjoramtally/connection/trainer_messages.hpp
+++ b/include/marjoramtally/connection/trainer_messages.hpp
@@ -3,7 +3,7 @@
 
 #include "marjoramtally/base/clock.hpp"
 #include "marjoramtally/base/result.hpp"
-#include "marjoramtally/version/ledger.hpp"
+#include "marjoramtally/version/step_ledger.hpp"
 
 #include <variant>
 
--- a/include/marjoramtally/version/config_log.hpp
+++ b/include/marjoramtally/version/config_log.hpp
@@ -57,7 +57,7 @@
   std::uint64_t unixTime_ = 0;
   std::vector<FileChange> changes_;
   /// The new revision is above this one, whatever the store shows.
-  ConfigRevision above_;
+  ConfigRevision aboveRevision_;
 };
 
 /// What the driver of an `EditSession` does next.
@@ -85,7 +85,7 @@
 };
 
 /// What is known of a commit.
-enum class CommitAnswer
+enum class CommitOutcome
 {
   Applied,
   NotApplied,
@@ -109,7 +109,7 @@
   /// @param aModification the store's revision of the manifest; 0 if absent
   void OnManifest(Manifest aManifest, std::uint64_t aModification);
   void OnBlobs(const std::map<std::string, std::string>& aBlobs);
-  void OnCommit(CommitAnswer aAnswer);
+  void OnCommit(CommitOutcome aAnswer);
   /// @param aRecord the log's record; nothing if there is none
   void OnRecord(const std::optional<Manifest>& aRecord);
 
--- a/include/marjoramtally/version/job_ledger.hpp
+++ b/include/marjoramtally/version/job_ledger.hpp
@@ -50,16 +50,16 @@
   /// few places for the longest first: then groups are finished one after the
   /// other, those that need least first. Items of a step begin within 2 s
   /// where the upstreams suffice.
-  Duration shortOfPlaces_ = std::chrono::milliseconds(2500);
+  Duration slotShortageDelay_ = std::chrono::milliseconds(2500);
   /// This long before the deadline, all that is finished is written. A trainer
   /// that reads it pauses for half a second, and then holds its next read open
   /// when its last groups end.
-  Duration lastRound_ = std::chrono::milliseconds(1100);
+  Duration finalFlushLead_ = std::chrono::milliseconds(1100);
   /// From then on, results that do not make enough groups whole wait until this
   /// long after the deadline: each of them would end a read, and the trainer
   /// pause, just before its last group is there. Steps are still in time 0.7 s
   /// after their deadline.
-  Duration lastCall_ = std::chrono::milliseconds(100);
+  Duration deadlineGrace_ = std::chrono::milliseconds(100);
 };
 
 /// Text made so far, and how far it goes.
@@ -69,7 +69,7 @@
   std::uint64_t lastEvent_ = 0;
   std::vector<WeightVersion> versions_;
   /// The upstream ended the text.
-  bool whole_ = false;
+  bool complete_ = false;
 };
 
 /// One job.
@@ -115,11 +115,11 @@
   /// event.
   void OnInterrupted(ItemIndex aItem);
   /// The upstream ended the stream as whole.
-  void OnWhole(ItemIndex aItem, TimePoint aNow);
+  void OnCompleted(ItemIndex aItem, TimePoint aNow);
   /// A run that went on after the last event held ended as whole without an
   /// event: the text may have been whole before. Two such answers prove it,
   /// since one may be spoilt.
-  void OnNothingLeft(ItemIndex aItem, TimePoint aNow);
+  void OnEmptyContinuation(ItemIndex aItem, TimePoint aNow);
   /// The upstream answered that the run failed.
   void OnRunFailed(ItemIndex aItem, TimePoint aNow);
   /// @returns whether an upstream has answered so
@@ -128,11 +128,14 @@
     return items_[aItem].failures_ > 0;
   }
   /// The upstream answered that the item can never be done.
-  void OnImpossible(ItemIndex aItem, TimePoint aNow);
+  void OnPermanentFailure(ItemIndex aItem, TimePoint aNow);
   /// The configuration has no route for the item any more.
   void OnRouteRemoved(ItemIndex aItem, TimePoint aNow);
 
-  void OnScoreAsked(ItemIndex aItem) { items_[aItem].scoreAsked_ = true; }
+  void OnScoreRequested(ItemIndex aItem)
+  {
+    items_[aItem].scoreRequested_ = true;
+  }
   void OnScored(ItemIndex aItem, std::string aScore, TimePoint aNow);
   /// @param aFailures answers in which the scorer itself reported a failure
   void OnScoreFailed(ItemIndex aItem, std::uint32_t aFailures, TimePoint aNow);
@@ -145,7 +148,7 @@
   }
 
   /// Gives up items that waited too long.
-  void GiveUpLate(TimePoint aNow);
+  void AbandonOverdue(TimePoint aNow);
   /// @returns results to write now, in the order of their positions
   [[nodiscard]] std::vector<ItemIndex> Listable(TimePoint aNow) const;
   /// @returns all results that are final and not written
@@ -185,7 +188,7 @@
   /// @returns whether as many groups are whole as the trainer waits for; each
   /// further one may be the one that it waits for beside
   [[nodiscard]] bool EnoughGroups() const noexcept;
-  /// @returns when `Listable` or `GiveUpLate` may next have something to do
+  /// @returns when `Listable` or `AbandonOverdue` may next have something to do
   [[nodiscard]] TimePoint NextDue() const noexcept;
 
 private:
@@ -196,11 +199,11 @@
     bool errored_ = false;
     /// A constant text.
     std::string_view error_;
-    bool scoreAsked_ = false;
+    bool scoreRequested_ = false;
     std::string score_;
     std::uint32_t failures_ = 0;
     /// Answers that had nothing after the last event.
-    std::uint32_t nothingLeft_ = 0;
+    std::uint32_t emptyContinuations_ = 0;
     std::uint32_t scoreFailures_ = 0;
     TimePoint finished_;
     ConfigRevision decidedUnder_{ 0 };
@@ -210,8 +213,9 @@
   void Finish(ItemIndex aItem, std::string_view aError, TimePoint aNow);
   [[nodiscard]] bool GroupFinished(ItemIndex aItem) const;
   /// @returns for each group what its items still need, by their estimates
-  [[nodiscard]] std::map<GroupId, std::uint64_t> WorkOfGroups() const;
-  [[nodiscard]] bool Fits(const std::vector<WeightVersion>& aVersions) const;
+  [[nodiscard]] std::map<GroupId, std::uint64_t> RemainingTokensByGroup() const;
+  [[nodiscard]] bool VersionsFit(
+    const std::vector<WeightVersion>& aVersions) const;
 
   JobSpec spec_;
   JobPolicy policy_;
--- a/include/marjoramtally/version/lead.hpp
+++ b/include/marjoramtally/version/lead_policy.hpp
@@ -11,14 +11,14 @@
 namespace marjoramtally {
 
 /// What a policy knows of a step when a generation may start.
-struct StepOutlook
+struct StepVersions
 {
   /// Newest version announced.
-  WeightVersion announced_;
+  WeightVersion newest_;
   /// The version at which the trainer will take the step.
-  WeightVersion taken_;
+  WeightVersion takeVersion_;
   /// The oldest version that may be delivered then.
-  WeightVersion needed_;
+  WeightVersion minDeliverable_;
 };
 
 /// Decides whether a generation starts and from which version on.
@@ -28,10 +28,10 @@
   virtual ~LeadPolicy() = default;
   [[nodiscard]] virtual std::string_view Name() const noexcept = 0;
   [[nodiscard]] virtual bool MayStart(
-    const StepOutlook& aOutlook) const noexcept = 0;
+    const StepVersions& aVersions) const noexcept = 0;
   /// @returns the oldest version whose engines may generate it
-  [[nodiscard]] virtual WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept = 0;
+  [[nodiscard]] virtual WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept = 0;
 };
 
 /// Finds a policy by its name in the rules: `idle` keeps the trainer fed as
--- a/include/marjoramtally/version/rules.hpp
+++ b/include/marjoramtally/version/rules.hpp
@@ -148,7 +148,7 @@
 /// @returns whether any rules were read; before that they do not say what there
 /// is, so that nothing may be denied by them
 [[nodiscard]] inline bool
-Known(const Rules& aRules) noexcept
+IsLoaded(const Rules& aRules) noexcept
 {
   return aRules.revision_ != ConfigRevision{ 0 };
 }
--- a/include/marjoramtally/version/sample_journal.hpp
+++ b/include/marjoramtally/version/sample_journal.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
-#include "marjoramtally/version/ledger.hpp"
+#include "marjoramtally/version/step_ledger.hpp"
 
 #include <memory>
 
--- a/include/marjoramtally/version/staleness.hpp
+++ b/include/marjoramtally/version/staleness.hpp
@@ -23,7 +23,7 @@
 {
 public:
   /// Versions remembered; older ones count as never announced.
-  static constexpr std::size_t kRemembered = 64;
+  static constexpr std::size_t kMaxVersions = 64;
 
   /// Adds a version announced now; versions that are known change nothing.
   void Announce(WeightVersion aVersion, TimePoint aNow);
@@ -41,7 +41,7 @@
 private:
   void Trim();
 
-  /// When each version was announced; `kUnknown` if nobody remembers.
+  /// When each version was announced; `kUnknownTime` if nobody remembers.
   std::map<WeightVersion, TimePoint> announced_;
 };
 
--- a/include/marjoramtally/version/ledger.hpp
+++ b/include/marjoramtally/version/step_ledger.hpp
@@ -37,10 +37,10 @@
   /// Indexes (group × group size + member) the trainer holds.
   IndexSet held_;
   /// Most samples wanted.
-  std::uint32_t most_ = 64;
+  std::uint32_t maxSamples_ = 64;
   /// Whether only whole groups are wanted; then at least one group is
-  /// given even if it has more than `most_` samples.
-  bool wholeGroups_ = false;
+  /// given even if it has more than `maxSamples_` samples.
+  bool completeGroups_ = false;
 };
 
 /// Samples for a trainer.
@@ -77,24 +77,24 @@
   /// @returns the next sample to generate, marked as in generation
   [[nodiscard]] std::optional<SampleId> StartNext();
   /// @returns whether the sample is of this step and neither ready nor held
-  [[nodiscard]] bool Lacks(const SampleId& aId) const noexcept;
+  [[nodiscard]] bool IsMissing(const SampleId& aId) const noexcept;
   /// Records that a generation ended and its candidate is being scored.
-  void Scoring(const SampleId& aId);
+  void OnScoring(const SampleId& aId);
   /// Keeps a candidate unless the sample is ready or held already.
   /// @returns whether it was kept
   bool Keep(Sample aSample);
   /// Records that a generation or its scoring failed; the sample is wanted
   /// again.
-  void Failed(const SampleId& aId);
+  void OnFailed(const SampleId& aId);
   /// Takes over the trainer's set: what it holds is done, and what it no
   /// longer holds is wanted again.
-  void Hold(const IndexSet& aHeld);
+  void SetHeld(const IndexSet& aHeld);
   /// Drops candidates with a version below `aOldest`.
   /// @returns tokens dropped
   std::uint64_t DropOlder(WeightVersion aOldest);
   /// @returns ready samples, in the order in which they became ready
-  [[nodiscard]] TakeResult Collect(std::uint32_t aMost,
-                                   bool aWholeGroups) const;
+  [[nodiscard]] TakeResult Collect(std::uint32_t aMaxSamples,
+                                   bool aCompleteGroups) const;
   /// @returns generations in progress
   [[nodiscard]] std::uint32_t InFlight() const noexcept;
 
@@ -111,7 +111,7 @@
   struct Slot
   {
     State state_ = State::Wanted;
-    /// Whether the index stands in `again_`.
+    /// Whether the index stands in `requeued_`.
     bool queued_ = false;
   };
 
@@ -120,10 +120,10 @@
   [[nodiscard]] std::uint32_t Count(State aState) const noexcept;
   [[nodiscard]] std::optional<std::uint32_t> PopWanted();
   [[nodiscard]] std::vector<std::uint32_t> ChooseReady(
-    std::uint32_t aMost) const;
+    std::uint32_t aMaxSamples) const;
   [[nodiscard]] std::vector<std::uint32_t> ChooseGroups(
-    std::uint32_t aMost) const;
-  void Move(std::uint32_t aIndex, State aTo);
+    std::uint32_t aMaxSamples) const;
+  void SetState(std::uint32_t aIndex, State aTo);
   void CompactReady();
 
   StepSpec spec_;
@@ -132,9 +132,9 @@
   /// Members of each group that are ready or held.
   std::vector<std::uint32_t> groupDone_;
   /// Indexes from here on were never started.
-  std::uint32_t next_ = 0;
+  std::uint32_t nextUnstarted_ = 0;
   /// Indexes wanted again; they go before those never started.
-  std::vector<std::uint32_t> again_;
+  std::vector<std::uint32_t> requeued_;
   /// Indexes that are ready, in the order in which they became so.
   std::vector<std::uint32_t> ready_;
   std::unordered_map<std::uint32_t, Sample> candidates_;
--- a/include/marjoramtally/version/take_client.hpp
+++ b/include/marjoramtally/version/take_client.hpp
@@ -3,7 +3,7 @@
 /// counts, and the set of samples that it holds goes with each take.
 #pragma once
 
-#include "marjoramtally/version/ledger.hpp"
+#include "marjoramtally/version/step_ledger.hpp"
 
 namespace marjoramtally {
 
@@ -15,13 +15,14 @@
 
   [[nodiscard]] const StepSpec& Spec() const noexcept { return spec_; }
   /// Begins a take; whatever still answers an earlier one is void.
-  [[nodiscard]] TakeSpec Next(WeightVersion aVersion, std::uint32_t aMost);
+  [[nodiscard]] TakeSpec Next(WeightVersion aVersion,
+                              std::uint32_t aMaxSamples);
   /// Takes an answer.
   /// @returns its samples, or none if it does not answer the present take
   [[nodiscard]] std::vector<Sample> OnAnswer(std::uint64_t aNumber,
                                              std::vector<Sample> aSamples);
   /// @returns whether all samples are held
-  [[nodiscard]] bool Whole() const noexcept;
+  [[nodiscard]] bool IsComplete() const noexcept;
   [[nodiscard]] const IndexSet& Held() const noexcept { return held_; }
 
 private:
@@ -29,7 +30,7 @@
   IndexSet held_;
   std::uint64_t lastNumber_ = 0;
   /// Number of the take that waits for its answer; 0 for none.
-  std::uint64_t present_ = 0;
+  std::uint64_t pending_ = 0;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/version/trainer_ledger.hpp
+++ b/include/marjoramtally/version/trainer_ledger.hpp
@@ -2,9 +2,9 @@
 /// may be delivered, which take is the present one.
 #pragma once
 
-#include "marjoramtally/version/lead.hpp"
-#include "marjoramtally/version/ledger.hpp"
+#include "marjoramtally/version/lead_policy.hpp"
 #include "marjoramtally/version/staleness.hpp"
+#include "marjoramtally/version/step_ledger.hpp"
 
 namespace marjoramtally {
 
@@ -43,7 +43,7 @@
 /// Whether a take is the trainer's present one.
 enum class TakeVerdict
 {
-  Present,
+  Current,
   /// The step must be opened (again) first.
   NotOpen,
   /// A take with a higher number came before.
@@ -55,7 +55,7 @@
 {
   SampleId sample_;
   /// The oldest version that may generate it.
-  WeightVersion least_;
+  WeightVersion minVersion_;
 };
 
 /// Tokens by what became of them.
@@ -85,13 +85,13 @@
 
   /// @returns the next generation to start, earlier steps first
   [[nodiscard]] std::optional<GenerationStart> StartNext(TimePoint aNow);
-  void Scoring(const SampleId& aId);
-  void Failed(const SampleId& aId);
+  void OnScoring(const SampleId& aId);
+  void OnFailed(const SampleId& aId);
   /// @returns what would become of a candidate now
   [[nodiscard]] CandidateVerdict Judge(const Sample& aSample,
                                        TimePoint aNow) const;
   /// Takes a candidate; unless kept, the sample is wanted again.
-  CandidateVerdict Generated(Sample aSample, TimePoint aNow);
+  CandidateVerdict OnGenerated(Sample aSample, TimePoint aNow);
 
   /// Takes over the trainer's version and its set of held samples.
   [[nodiscard]] TakeVerdict Accept(const TakeSpec& aTake, TimePoint aNow);
@@ -112,9 +112,10 @@
   };
 
   [[nodiscard]] StepLedger* FindOpen(StepId aStep);
-  [[nodiscard]] WeightVersion TakenAt(const StepLedger& aStep) const noexcept;
-  [[nodiscard]] StepOutlook Outlook(const StepLedger& aStep,
-                                    TimePoint aNow) const noexcept;
+  [[nodiscard]] WeightVersion TakeVersion(
+    const StepLedger& aStep) const noexcept;
+  [[nodiscard]] StepVersions VersionsOf(const StepLedger& aStep,
+                                        TimePoint aNow) const noexcept;
 
   LedgerRules rules_;
   VersionHistory versions_;
--- a/src/connection/trainer_messages.cpp
+++ b/src/connection/trainer_messages.cpp
@@ -87,10 +87,10 @@
   aOut.setStep(aTake.spec_.step_.Get());
   aOut.setVersion(aTake.spec_.version_.Get());
   aOut.setHeld(aTake.spec_.held_.Format());
-  aOut.setMost(aTake.spec_.most_);
+  aOut.setMost(aTake.spec_.maxSamples_);
   aOut.setWaitMs(Millis(aTake.wait_));
   aOut.setNumber(aTake.spec_.number_);
-  aOut.setWholeGroups(aTake.spec_.wholeGroups_);
+  aOut.setWholeGroups(aTake.spec_.completeGroups_);
 }
 
 Result<TrainerOperation>
@@ -104,9 +104,9 @@
   take.spec_.step_ = StepId{ aIn.getStep() };
   take.spec_.version_ = WeightVersion{ aIn.getVersion() };
   take.spec_.held_ = *held;
-  take.spec_.most_ = aIn.getMost();
+  take.spec_.maxSamples_ = aIn.getMost();
   take.spec_.number_ = aIn.getNumber();
-  take.spec_.wholeGroups_ = aIn.getWholeGroups();
+  take.spec_.completeGroups_ = aIn.getWholeGroups();
   take.wait_ = std::chrono::milliseconds(aIn.getWaitMs());
   return TrainerOperation{ std::move(take) };
 }
--- a/src/daemon/config_editor.cpp
+++ b/src/daemon/config_editor.cpp
@@ -130,8 +130,8 @@
   {
     if (aCommit) {
       const bool applied = aCommit.value().applied_;
-      session_.OnCommit(applied ? CommitAnswer::Applied
-                                : CommitAnswer::NotApplied);
+      session_.OnCommit(applied ? CommitOutcome::Applied
+                                : CommitOutcome::NotApplied);
       losses_ += applied ? 0 : 1;
       if (losses_ > kMaxLosses) {
         GiveUp("others kept editing");
@@ -143,8 +143,8 @@
       return;
     }
     const bool unsent = aCommit.error().kind_ == ErrorKind::Unavailable;
-    session_.OnCommit(unsent ? CommitAnswer::NotApplied
-                             : CommitAnswer::Unknown);
+    session_.OnCommit(unsent ? CommitOutcome::NotApplied
+                             : CommitOutcome::Unknown);
     Fail(aCommit.error());
   }
 
--- a/src/programs/controld/trainer_operations.cpp
+++ b/src/programs/controld/trainer_operations.cpp
@@ -71,7 +71,7 @@
 {
   const auto rules = host_.Members().View()->rules_;
   const auto rule = rules->trainers_.find(aRequest.trainer_);
-  if (!Known(*rules)) {
+  if (!IsLoaded(*rules)) {
     // An entry asks another process then; `NotFound` it would pass on.
     aDone(Error{ ErrorKind::Unavailable, "no rules are known here yet" });
     return;
@@ -189,7 +189,7 @@
   std::size_t restored = 0;
   for (Sample& sample : kept_.Read(aState.rule_.id_, aSpec)) {
     const CandidateVerdict verdict =
-      aState.ledger_.Generated(std::move(sample), host_.Now());
+      aState.ledger_.OnGenerated(std::move(sample), host_.Now());
     restored += verdict == CandidateVerdict::Kept ? 1 : 0;
   }
   if (restored > 0) {
--- a/src/programs/controld/trainer_service.cpp
+++ b/src/programs/controld/trainer_service.cpp
@@ -177,7 +177,7 @@
   CandidateOrder order;
   order.rule_ = aState.rule_;
   order.sample_ = aStart.sample_;
-  order.least_ = aStart.least_;
+  order.least_ = aStart.minVersion_;
   order.maxTokens_ = spec.maxTokens_;
   order.prompt_ = spec.prompts_[aStart.sample_.group_];
   order.trace_ = aState.trace_;
@@ -191,7 +191,7 @@
   events.scoring_ = [this, aTrainer, aSample] {
     const std::lock_guard lock(mutex_);
     if (TrainerState* state = Find(aTrainer)) {
-      state->ledger_.Scoring(aSample);
+      state->ledger_.OnScoring(aSample);
       Fill(*state);
     }
   };
@@ -220,7 +220,7 @@
     return;
   }
   const CandidateVerdict verdict =
-    state->ledger_.Generated(aSample, host_.Now());
+    state->ledger_.OnGenerated(aSample, host_.Now());
   if (verdict == CandidateVerdict::Uncertain) {
     LogEvent(LogLevel::Warn,
              "labels_uncertain",
@@ -251,7 +251,7 @@
   host_.Clockwork().After(state->pauses_.Next(), [this, aTrainer, aSample] {
     const std::lock_guard inner(mutex_);
     if (TrainerState* now = Find(aTrainer)) {
-      now->ledger_.Failed(aSample);
+      now->ledger_.OnFailed(aSample);
       Fill(*now);
     }
   });
--- a/src/programs/controld/version_announcer.cpp
+++ b/src/programs/controld/version_announcer.cpp
@@ -68,8 +68,8 @@
 {
   aRecord.announced_.push_back(aNext);
   const std::size_t count = aRecord.announced_.size();
-  const std::size_t skip = count > VersionHistory::kRemembered
-                             ? count - VersionHistory::kRemembered
+  const std::size_t skip = count > VersionHistory::kMaxVersions
+                             ? count - VersionHistory::kMaxVersions
                              : 0;
   Json history = Json::array();
   for (std::size_t i = skip; i < count; ++i) {
--- a/src/programs/ctl/edit_commands.cpp
+++ b/src/programs/ctl/edit_commands.cpp
@@ -269,7 +269,7 @@
     return PrintFailure(files ? accepted.error() : files.error());
   }
   ConfigEdit edit = MakeEdit(aInput.author_);
-  edit.above_ = content.value().manifest_.revision_;
+  edit.aboveRevision_ = content.value().manifest_.revision_;
   AddDifferences(edit, accepted.value().manifest_, files.value());
   return session.Submit(std::move(edit));
 }
--- a/src/programs/ctl/session.cpp
+++ b/src/programs/ctl/session.cpp
@@ -129,7 +129,7 @@
 int
 Session::Submit(ConfigEdit aEdit)
 {
-  if (aEdit.above_ == ConfigRevision{ 0 }) {
+  if (aEdit.aboveRevision_ == ConfigRevision{ 0 }) {
     const auto sound = CheckStoreNotOlder();
     if (!sound) {
       return PrintFailure(sound.error());
--- a/src/programs/entryd/entry.cpp
+++ b/src/programs/entryd/entry.cpp
@@ -56,7 +56,7 @@
 void
 Entry::OnHttp(HttpRequest aRequest, const HttpReplyPtr& aReply)
 {
-  if (!Known(*host_.Members().View()->rules_)) {
+  if (!IsLoaded(*host_.Members().View()->rules_)) {
     // Callers take 404 for final.
     LogEvent(LogLevel::Info,
              "refused",
--- a/src/programs/entryd/trainer_api.cpp
+++ b/src/programs/entryd/trainer_api.cpp
@@ -72,13 +72,13 @@
   }
   take.spec_.held_ = *held;
   if (aBody.contains("most")) {
-    take.spec_.most_ =
+    take.spec_.maxSamples_ =
       static_cast<std::uint32_t>(Bounded(aBody, "most", 1, kMaxSamplesPerTake));
   }
   if (aBody.contains("take")) {
     take.spec_.number_ = Bounded(aBody, "take", 0, UINT64_MAX);
   }
-  take.spec_.wholeGroups_ = aBody.value("whole_groups", false);
+  take.spec_.completeGroups_ = aBody.value("whole_groups", false);
   if (aBody.contains("wait_ms")) {
     take.wait_ =
       std::chrono::milliseconds(Bounded(aBody, "wait_ms", 0, kMaxWaitMillis));
--- a/src/programs/gatewayd/job_runner.cpp
+++ b/src/programs/gatewayd/job_runner.cpp
@@ -290,7 +290,7 @@
   if (first) {
     TakeTexts(aJob);
   }
-  aJob.ledger_.GiveUpLate(host_.Now());
+  aJob.ledger_.AbandonOverdue(host_.Now());
   Score(aId, aJob);
   PlanFlush();
   return true;
--- a/src/programs/gatewayd/job_runner_results.cpp
+++ b/src/programs/gatewayd/job_runner_results.cpp
@@ -160,7 +160,7 @@
 {
   const ScoreCall& score = *aJob.ledger_.Spec().items_[aItem].score_;
   const Route* route = routes_.Match(score.host_, score.path_);
-  aJob.ledger_.OnScoreAsked(aItem);
+  aJob.ledger_.OnScoreRequested(aItem);
   if (route == nullptr) {
     OnScore(aId, aItem, {});
     return;
@@ -267,7 +267,7 @@
         batch.writes_.size() == kJobsAtOnce) {
       continue;
     }
-    job.ledger_.GiveUpLate(now);
+    job.ledger_.AbandonOverdue(now);
     const bool partials = !job.runs_.empty() && PartialsDue(job) &&
                           !job.ledger_.AwaitsLastGroups(now);
     // A write that is made anyway takes all results along.
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -256,7 +256,7 @@
       aRun.events_ > 0) {
     board_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     host_.Measures().Count("runs_whole_total");
-    aJob.ledger_.OnWhole(aRun.item_, now);
+    aJob.ledger_.OnCompleted(aRun.item_, now);
     LogEvent(LogLevel::Debug,
              "item_whole",
              { { "item", aJob.ledger_.Spec().items_[aRun.item_].id_.Get() },
@@ -271,7 +271,7 @@
     const bool none = aJob.ledger_.Text(aRun.item_).lastEvent_ == 0;
     board_.OnEnd(
       aRun.upstream_, none ? CallVerdict::Failed : CallVerdict::Answered, now);
-    aJob.ledger_.OnNothingLeft(aRun.item_, now);
+    aJob.ledger_.OnEmptyContinuation(aRun.item_, now);
     aJob.avoided_[aRun.item_] = aRun.upstream_;
     return;
   }
@@ -302,7 +302,7 @@
     aJob.ledger_.OnRunFailed(aRun.item_, now);
   } else if (whole && aRun.status_ == 422) {
     board_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
-    aJob.ledger_.OnImpossible(aRun.item_, now);
+    aJob.ledger_.OnPermanentFailure(aRun.item_, now);
   } else {
     board_.OnEnd(aRun.upstream_, CallVerdict::Failed, now);
     aJob.ledger_.OnInterrupted(aRun.item_);
--- a/src/programs/load/decide_lead.cpp
+++ b/src/programs/load/decide_lead.cpp
@@ -164,7 +164,7 @@
       if (!pending_) {
         pending_ = NextStart();
       }
-      Sampler* sampler = pending_ ? Choose(pending_->least_) : nullptr;
+      Sampler* sampler = pending_ ? Choose(pending_->minVersion_) : nullptr;
       if (sampler == nullptr) {
         return;
       }
@@ -217,7 +217,7 @@
               std::uint64_t aTokens)
   {
     if (aFails) {
-      ledger_.Failed(aSample);
+      ledger_.OnFailed(aSample);
       if (case_.fifo_) {
         fifoQueue_.push_back(aSample);
       }
@@ -227,7 +227,7 @@
     sample.id_ = aSample;
     sample.tokens_ = static_cast<std::uint32_t>(aTokens);
     sample.spans_ = { { aFrom, 0, 1 }, { aTo, 1, sample.tokens_ } };
-    ledger_.Generated(std::move(sample), loop_.Now());
+    ledger_.OnGenerated(std::move(sample), loop_.Now());
   }
 
   /// The trainer takes whatever is ready of its present step.
@@ -240,8 +240,8 @@
     take.step_ = StepId{ step_ };
     take.version_ = version_;
     take.held_ = held_;
-    take.most_ = kGroups * kGroupSize;
-    if (ledger_.Accept(take, loop_.Now()) != TakeVerdict::Present) {
+    take.maxSamples_ = kGroups * kGroupSize;
+    if (ledger_.Accept(take, loop_.Now()) != TakeVerdict::Current) {
       return;
     }
     for (const Sample& sample : ledger_.Collect(take, loop_.Now()).samples_) {
--- a/src/programs/load/ledger_bench.cpp
+++ b/src/programs/load/ledger_bench.cpp
@@ -102,11 +102,11 @@
 {
   TakeClient client(MakeStep(aSize));
   Stopwatch takes;
-  while (!client.Whole()) {
+  while (!client.IsComplete()) {
     const TakeSpec take = client.Next(WeightVersion{ 1 }, kMost);
     TakeResult result;
     takes.Time([&] {
-      if (aLedger.Accept(take, {}) == TakeVerdict::Present) {
+      if (aLedger.Accept(take, {}) == TakeVerdict::Current) {
         result = aLedger.Collect(take, {});
       }
     });
@@ -138,7 +138,7 @@
   Stopwatch keeps(aSize);
   for (const SampleId& id : started) {
     Sample sample = MakeSample(id);
-    keeps.Time([&] { ledger.Generated(std::move(sample), {}); });
+    keeps.Time([&] { ledger.OnGenerated(std::move(sample), {}); });
   }
   const std::size_t ready = HeapBytes() - unready;
   const Stopwatch takes = TimeTakes(ledger, aSize);
--- a/src/version/config_log.cpp
+++ b/src/version/config_log.cpp
@@ -57,8 +57,9 @@
 EditSession::Rebase()
 {
   proposal_ = base_;
-  proposal_.revision_ =
-    ConfigRevision{ std::max(base_.revision_.Get(), edit_.above_.Get()) + 1 };
+  proposal_.revision_ = ConfigRevision{
+    std::max(base_.revision_.Get(), edit_.aboveRevision_.Get()) + 1
+  };
   proposal_.edit_ = edit_.id_;
   proposal_.author_ = edit_.author_;
   proposal_.unixTime_ = edit_.unixTime_;
@@ -74,7 +75,7 @@
   if (!conflicts_.empty()) {
     step_ = EditStep::Conflicted;
   } else if (proposal_.files_ == base_.files_ &&
-             edit_.above_ <= base_.revision_) {
+             edit_.aboveRevision_ <= base_.revision_) {
     step_ = EditStep::Unchanged;
   } else if (!MissingBlobs().empty()) {
     step_ = EditStep::ReadBlobs;
@@ -126,13 +127,13 @@
 }
 
 void
-EditSession::OnCommit(CommitAnswer aAnswer)
+EditSession::OnCommit(CommitOutcome aAnswer)
 {
-  if (aAnswer == CommitAnswer::Applied) {
+  if (aAnswer == CommitOutcome::Applied) {
     step_ = EditStep::Accepted;
     return;
   }
-  if (aAnswer == CommitAnswer::Unknown) {
+  if (aAnswer == CommitOutcome::Unknown) {
     unsettled_ = true;
   }
   // Also "not applied" may follow an earlier attempt that did apply.
--- a/src/version/job_ledger.cpp
+++ b/src/version/job_ledger.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kNoError;
 /// Empty answers that prove a text to be whole.
-constexpr std::uint32_t kProofs = 2;
+constexpr std::uint32_t kMinEmptyContinuations = 2;
 constexpr std::string_view kRestoredError = "given up by an earlier owner";
 
 } // namespace
@@ -36,7 +36,7 @@
     Item& state = items_[*item];
     state.text_.text_ = result.text_;
     state.text_.versions_ = result.versions_;
-    state.text_.whole_ = result.completed_;
+    state.text_.complete_ = result.completed_;
     state.score_ = result.score_;
     Finish(*item, result.completed_ ? kNoError : kRestoredError, accepted_);
     OnListed({ *item });
@@ -44,7 +44,7 @@
 }
 
 bool
-JobLedger::Fits(const std::vector<WeightVersion>& aVersions) const
+JobLedger::VersionsFit(const std::vector<WeightVersion>& aVersions) const
 {
   const bool fresh = std::all_of(
     aVersions.begin(), aVersions.end(), [this](const WeightVersion& aVersion) {
@@ -57,11 +57,11 @@
 JobLedger::Reuse(ItemIndex aItem, PartialText aText)
 {
   Item& item = items_[aItem];
-  if (item.state_ != ItemState::Waiting || !Fits(aText.versions_)) {
+  if (item.state_ != ItemState::Waiting || !VersionsFit(aText.versions_)) {
     return;
   }
   item.text_ = std::move(aText);
-  if (item.text_.whole_) {
+  if (item.text_.complete_) {
     item.state_ = ItemState::Scoring;
   }
 }
@@ -74,7 +74,7 @@
 }
 
 std::map<GroupId, std::uint64_t>
-JobLedger::WorkOfGroups() const
+JobLedger::RemainingTokensByGroup() const
 {
   std::map<GroupId, std::uint64_t> work;
   for (ItemIndex i = 0; i < items_.size(); ++i) {
@@ -102,8 +102,8 @@
     waiting.begin(), waiting.end(), [this](auto aLeft, auto aRight) {
       return spec_.items_[aLeft].lengthHint_ > spec_.items_[aRight].lengthHint_;
     });
-  if (aNow - accepted_ > policy_.shortOfPlaces_) {
-    const auto work = WorkOfGroups();
+  if (aNow - accepted_ > policy_.slotShortageDelay_) {
+    const auto work = RemainingTokensByGroup();
     std::stable_sort(
       waiting.begin(), waiting.end(), [&](auto aLeft, auto aRight) {
         return work.at(spec_.items_[aLeft].group_) <
@@ -118,7 +118,7 @@
 {
   std::vector<ItemIndex> unscored;
   for (ItemIndex i = 0; i < items_.size(); ++i) {
-    if (items_[i].state_ == ItemState::Scoring && !items_[i].scoreAsked_) {
+    if (items_[i].state_ == ItemState::Scoring && !items_[i].scoreRequested_) {
       unscored.push_back(i);
     }
   }
@@ -144,7 +144,7 @@
   if (std::find(versions.begin(), versions.end(), aVersion) == versions.end()) {
     versions.push_back(aVersion);
   }
-  if (!Fits(versions)) {
+  if (!VersionsFit(versions)) {
     text = {};
     return Error{ ErrorKind::Conflict, "the weight version does not fit" };
   }
@@ -152,7 +152,7 @@
   if (text.lastEvent_ > 0) {
     text.text_ += '\n';
   }
-  items_[aItem].nothingLeft_ = 0;
+  items_[aItem].emptyContinuations_ = 0;
   text.text_ += aEvent.data_;
   text.lastEvent_ = *aEvent.id_;
   return true;
@@ -167,10 +167,10 @@
 }
 
 void
-JobLedger::OnWhole(ItemIndex aItem, TimePoint aNow)
+JobLedger::OnCompleted(ItemIndex aItem, TimePoint aNow)
 {
   Item& item = items_[aItem];
-  item.text_.whole_ = true;
+  item.text_.complete_ = true;
   if (spec_.items_[aItem].score_) {
     item.state_ = ItemState::Scoring;
   } else {
@@ -179,11 +179,12 @@
 }
 
 void
-JobLedger::OnNothingLeft(ItemIndex aItem, TimePoint aNow)
+JobLedger::OnEmptyContinuation(ItemIndex aItem, TimePoint aNow)
 {
   Item& item = items_[aItem];
-  if (item.text_.lastEvent_ > 0 && ++item.nothingLeft_ >= kProofs) {
-    OnWhole(aItem, aNow);
+  if (item.text_.lastEvent_ > 0 &&
+      ++item.emptyContinuations_ >= kMinEmptyContinuations) {
+    OnCompleted(aItem, aNow);
   } else {
     OnInterrupted(aItem);
   }
@@ -201,7 +202,7 @@
 }
 
 void
-JobLedger::OnImpossible(ItemIndex aItem, TimePoint aNow)
+JobLedger::OnPermanentFailure(ItemIndex aItem, TimePoint aNow)
 {
   Finish(aItem, "its upstream says that it can never be done", aNow);
 }
@@ -227,7 +228,7 @@
                          TimePoint aNow)
 {
   Item& item = items_[aItem];
-  item.scoreAsked_ = false;
+  item.scoreRequested_ = false;
   item.scoreFailures_ += aFailures;
   if (item.state_ == ItemState::Scoring &&
       item.scoreFailures_ >= policy_.maxScoreFailures_) {
@@ -259,7 +260,7 @@
 }
 
 void
-JobLedger::GiveUpLate(TimePoint aNow)
+JobLedger::AbandonOverdue(TimePoint aNow)
 {
   if (aNow - accepted_ < policy_.maxQueue_) {
     return;
@@ -289,24 +290,24 @@
 JobLedger::AwaitsLastGroups(TimePoint aNow) const noexcept
 {
   const Duration age = aNow - accepted_;
-  return age >= policy_.runDeadline_ - policy_.lastRound_ &&
-         age < policy_.runDeadline_ + policy_.lastCall_ && !EnoughGroups();
+  return age >= policy_.runDeadline_ - policy_.finalFlushLead_ &&
+         age < policy_.runDeadline_ + policy_.deadlineGrace_ && !EnoughGroups();
 }
 
 std::vector<ItemIndex>
 JobLedger::Listable(TimePoint aNow) const
 {
   const bool late =
-    aNow - accepted_ >= policy_.runDeadline_ + policy_.lastCall_;
-  const TimePoint lastRound =
-    accepted_ + policy_.runDeadline_ - policy_.lastRound_;
+    aNow - accepted_ >= policy_.runDeadline_ + policy_.deadlineGrace_;
+  const TimePoint finalFlush =
+    accepted_ + policy_.runDeadline_ - policy_.finalFlushLead_;
   const bool enough = EnoughGroups();
   std::vector<ItemIndex> listable;
   for (ItemIndex i = 0; i < items_.size(); ++i) {
     const Item& item = items_[i];
     if (item.state_ == ItemState::Finished &&
         (late || (enough && GroupFinished(i)) ||
-         (aNow >= lastRound && item.finished_ < lastRound) ||
+         (aNow >= finalFlush && item.finished_ < finalFlush) ||
          aNow - item.finished_ >= policy_.groupWait_)) {
       listable.push_back(i);
     }
@@ -368,9 +369,10 @@
   for (const Item& item : items_) {
     if (item.state_ == ItemState::Finished) {
       const TimePoint deadline = accepted_ + policy_.runDeadline_;
-      const TimePoint round = item.finished_ < deadline - policy_.lastRound_
-                                ? deadline - policy_.lastRound_
-                                : deadline + policy_.lastCall_;
+      const TimePoint round =
+        item.finished_ < deadline - policy_.finalFlushLead_
+          ? deadline - policy_.finalFlushLead_
+          : deadline + policy_.deadlineGrace_;
       due = std::min({ due, item.finished_ + policy_.groupWait_, round });
     }
   }
--- a/src/version/job_record.cpp
+++ b/src/version/job_record.cpp
@@ -81,7 +81,7 @@
                      { "text", entry.text_.text_ },
                      { "last", entry.text_.lastEvent_ },
                      { "versions", WriteVersions(entry.text_.versions_) },
-                     { "whole", entry.text_.whole_ } });
+                     { "whole", entry.text_.complete_ } });
   }
   return Dump(list);
 }
@@ -96,7 +96,7 @@
       text.text_ = value.at("text").get<std::string>();
       text.lastEvent_ = value.at("last").get<std::uint64_t>();
       text.versions_ = ReadVersions(value.at("versions"));
-      text.whole_ = value.at("whole").get<bool>();
+      text.complete_ = value.at("whole").get<bool>();
       texts.push_back(
         { ItemId{ value.at("id").get<std::string>() }, std::move(text) });
     }
--- a/src/version/lead.cpp
+++ b/src/version/lead_policy.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/version/lead.hpp"
+#include "marjoramtally/version/lead_policy.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,7 +8,7 @@
 namespace {
 
 /// Versions that generation leads the trainer where freshness goes first.
-constexpr std::uint64_t kFreshLead = 1;
+constexpr std::uint64_t kMaxFreshnessLead = 1;
 
 /// Starts whatever can still be fresh enough when it is taken.
 class IdlePolicy final : public LeadPolicy
@@ -19,14 +19,14 @@
     return "idle";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_ <= aOutlook.announced_;
+    return aVersions.minDeliverable_ <= aVersions.newest_;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_;
+    return aVersions.minDeliverable_;
   }
 };
 
@@ -39,16 +39,17 @@
     return "freshness";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_ <= aOutlook.announced_ &&
-           aOutlook.taken_.Get() <= aOutlook.announced_.Get() + kFreshLead;
+    return aVersions.minDeliverable_ <= aVersions.newest_ &&
+           aVersions.takeVersion_.Get() <=
+             aVersions.newest_.Get() + kMaxFreshnessLead;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return std::max(aOutlook.needed_,
-                    std::min(aOutlook.announced_, aOutlook.taken_));
+    return std::max(aVersions.minDeliverable_,
+                    std::min(aVersions.newest_, aVersions.takeVersion_));
   }
 };
 
@@ -61,14 +62,14 @@
     return "strict";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.taken_ <= aOutlook.announced_;
+    return aVersions.takeVersion_ <= aVersions.newest_;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.taken_;
+    return aVersions.takeVersion_;
   }
 };
 
@@ -81,12 +82,12 @@
     return "unlimited";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& /*aOutlook*/) const noexcept override
+    const StepVersions& /*aVersions*/) const noexcept override
   {
     return true;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& /*aOutlook*/) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& /*aVersions*/) const noexcept override
   {
     return WeightVersion{ 0 };
   }
--- a/src/version/rules_check.cpp
+++ b/src/version/rules_check.cpp
@@ -1,6 +1,6 @@
-#include "version/rules_parts.hpp"
+#include "version/rules_impl.hpp"
 
-#include "marjoramtally/version/lead.hpp"
+#include "marjoramtally/version/lead_policy.hpp"
 
 #include <algorithm>
 
--- a/src/version/rules_edit.cpp
+++ b/src/version/rules_edit.cpp
@@ -52,19 +52,19 @@
 }
 
 /// Where a key stands, or where it would be put.
-struct KeyPlace
+struct KeyLocation
 {
   /// Line of the key, if it is there.
   std::optional<std::size_t> line_;
   /// Line after the section's last line that is not blank, if it is there.
-  std::optional<std::size_t> end_;
+  std::optional<std::size_t> insertAt_;
 };
 
-KeyPlace
-FindPlace(const std::vector<std::string>& aLines,
-          const KeyAssignment& aAssignment)
+KeyLocation
+FindKey(const std::vector<std::string>& aLines,
+        const KeyAssignment& aAssignment)
 {
-  KeyPlace place;
+  KeyLocation location;
   bool inside = false;
   for (std::size_t i = 0; i < aLines.size(); ++i) {
     if (const auto section = OpenedSection(aLines[i])) {
@@ -74,13 +74,13 @@
       continue;
     }
     if (!Trim(aLines[i]).empty()) {
-      place.end_ = i + 1;
+      location.insertAt_ = i + 1;
     }
     if (!OpenedSection(aLines[i]) && SetsKey(aLines[i], aAssignment.key_)) {
-      place.line_ = i;
+      location.line_ = i;
     }
   }
-  return place;
+  return location;
 }
 
 } // namespace
@@ -116,19 +116,19 @@
 AssignKey(std::string_view aText, const KeyAssignment& aAssignment)
 {
   std::vector<std::string> lines = SplitLines(aText);
-  const KeyPlace place = FindPlace(lines, aAssignment);
+  const KeyLocation location = FindKey(lines, aAssignment);
   const auto at = [&](std::size_t aLine) {
     return lines.begin() + static_cast<std::ptrdiff_t>(aLine);
   };
   const std::string line = aAssignment.key_ + " = " + aAssignment.value_;
   if (aAssignment.value_.empty()) {
-    if (place.line_) {
-      lines.erase(at(*place.line_));
+    if (location.line_) {
+      lines.erase(at(*location.line_));
     }
-  } else if (place.line_) {
-    lines[*place.line_] = line;
-  } else if (place.end_) {
-    lines.insert(at(*place.end_), line);
+  } else if (location.line_) {
+    lines[*location.line_] = line;
+  } else if (location.insertAt_) {
+    lines.insert(at(*location.insertAt_), line);
   } else {
     if (!lines.empty()) {
       lines.emplace_back();
--- a/src/version/rules_sections.cpp
+++ b/src/version/rules_sections.cpp
@@ -1,4 +1,4 @@
-#include "version/rules_parts.hpp"
+#include "version/rules_impl.hpp"
 
 #include <array>
 
@@ -72,7 +72,7 @@
 
 /// The place of a section's first key.
 SourcePlace
-PlaceOf(const IniSection& aSection)
+FirstKeyLocation(const IniSection& aSection)
 {
   return aSection.empty() ? SourcePlace{} : aSection.begin()->second.place_;
 }
@@ -89,8 +89,12 @@
 {
   Rule rule;
   rule.id_ = Id{ aName };
-  ReadFields<Rule>(
-    aSectionName, aSection, PlaceOf(aSection), aFields, rule, aFindings);
+  ReadFields<Rule>(aSectionName,
+                   aSection,
+                   FirstKeyLocation(aSection),
+                   aFields,
+                   rule,
+                   aFindings);
   aOut.emplace(rule.id_, std::move(rule));
 }
 
@@ -105,14 +109,14 @@
 {
   const auto named = ParseRequestClass(aName);
   if (!named) {
-    aFindings.Add(PlaceOf(aSection),
+    aFindings.Add(FirstKeyLocation(aSection),
                   "[" + aSectionName +
                     "]: the classes are live, trainer and background");
     return;
   }
   ReadFields<ClassLimits>(aSectionName,
                           aSection,
-                          PlaceOf(aSection),
+                          FirstKeyLocation(aSection),
                           kClassFields,
                           aRules.classes_.at(static_cast<std::size_t>(*named)),
                           aFindings);
@@ -145,14 +149,14 @@
   if (aSectionName == "weight-store") {
     ReadFields<WeightStoreRule>(aSectionName,
                                 aSection,
-                                PlaceOf(aSection),
+                                FirstKeyLocation(aSection),
                                 kWeightStoreFields,
                                 aRules.weightStore_,
                                 aFindings);
   } else if (aSectionName == "orders") {
     ReadFields<OrdersRule>(aSectionName,
                            aSection,
-                           PlaceOf(aSection),
+                           FirstKeyLocation(aSection),
                            kOrdersFields,
                            aRules.orders_,
                            aFindings);
@@ -187,7 +191,7 @@
   } else if (kind == "class" && !name.empty()) {
     ReadClass(aSectionName, name, aSection, aRules, aFindings);
   } else {
-    aFindings.Add(PlaceOf(aSection),
+    aFindings.Add(FirstKeyLocation(aSection),
                   "[" + aSectionName +
                     "] is none of [service NAME], [upstream NAME], "
                     "[trainer NAME], [operator NAME], [class NAME], "
--- a/src/version/staleness.cpp
+++ b/src/version/staleness.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Announced at a time that nobody remembers: before any other.
-constexpr TimePoint kUnknown{ Duration::min() };
+constexpr TimePoint kUnknownTime{ Duration::min() };
 
 } // namespace
 
@@ -23,14 +23,14 @@
 void
 VersionHistory::AddPast(WeightVersion aVersion)
 {
-  announced_.emplace(aVersion, kUnknown);
+  announced_.emplace(aVersion, kUnknownTime);
   Trim();
 }
 
 void
 VersionHistory::Trim()
 {
-  while (announced_.size() > kRemembered) {
+  while (announced_.size() > kMaxVersions) {
     announced_.erase(announced_.begin());
   }
 }
@@ -53,7 +53,7 @@
   WeightVersion oldest = Newest();
   TimePoint superseded = kNever;
   for (auto it = announced_.rbegin(); it != announced_.rend(); ++it) {
-    const bool known = superseded != kUnknown;
+    const bool known = superseded != kUnknownTime;
     if (superseded != kNever && (!known || aNow - superseded > aAge)) {
       break;
     }
--- a/src/version/ledger.cpp
+++ b/src/version/step_ledger.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/version/ledger.hpp"
+#include "marjoramtally/version/step_ledger.hpp"
 
 #include <algorithm>
 
@@ -56,7 +56,7 @@
 }
 
 void
-StepLedger::Move(std::uint32_t aIndex, State aTo)
+StepLedger::SetState(std::uint32_t aIndex, State aTo)
 {
   Slot& slot = slots_[aIndex];
   const auto done = [](State aState) -> std::uint32_t {
@@ -70,25 +70,25 @@
     candidates_.erase(aIndex);
   }
   slot.state_ = aTo;
-  if (aTo == State::Wanted && aIndex < next_ && !slot.queued_) {
+  if (aTo == State::Wanted && aIndex < nextUnstarted_ && !slot.queued_) {
     slot.queued_ = true;
-    again_.push_back(aIndex);
+    requeued_.push_back(aIndex);
   }
 }
 
 std::optional<std::uint32_t>
 StepLedger::PopWanted()
 {
-  while (!again_.empty()) {
-    const std::uint32_t index = again_.back();
-    again_.pop_back();
+  while (!requeued_.empty()) {
+    const std::uint32_t index = requeued_.back();
+    requeued_.pop_back();
     slots_[index].queued_ = false;
     if (slots_[index].state_ == State::Wanted) {
       return index;
     }
   }
-  while (next_ < Size()) {
-    const std::uint32_t index = next_++;
+  while (nextUnstarted_ < Size()) {
+    const std::uint32_t index = nextUnstarted_++;
     if (slots_[index].state_ == State::Wanted) {
       return index;
     }
@@ -103,23 +103,23 @@
   if (!index) {
     return std::nullopt;
   }
-  Move(*index, State::InGeneration);
+  SetState(*index, State::InGeneration);
   return SampleId{ spec_.step_,
                    *index / spec_.groupSize_,
                    *index % spec_.groupSize_ };
 }
 
 void
-StepLedger::Scoring(const SampleId& aId)
+StepLedger::OnScoring(const SampleId& aId)
 {
   const auto index = IndexOf(aId);
   if (index && slots_[*index].state_ == State::InGeneration) {
-    Move(*index, State::Scoring);
+    SetState(*index, State::Scoring);
   }
 }
 
 bool
-StepLedger::Lacks(const SampleId& aId) const noexcept
+StepLedger::IsMissing(const SampleId& aId) const noexcept
 {
   const auto index = IndexOf(aId);
   return index && slots_[*index].state_ != State::Ready &&
@@ -129,35 +129,35 @@
 bool
 StepLedger::Keep(Sample aSample)
 {
-  if (!Lacks(aSample.id_)) {
+  if (!IsMissing(aSample.id_)) {
     return false;
   }
   const auto index = IndexOf(aSample.id_);
-  Move(*index, State::Ready);
+  SetState(*index, State::Ready);
   ready_.push_back(*index);
   candidates_.insert_or_assign(*index, std::move(aSample));
   return true;
 }
 
 void
-StepLedger::Failed(const SampleId& aId)
+StepLedger::OnFailed(const SampleId& aId)
 {
   const auto index = IndexOf(aId);
   if (index && (slots_[*index].state_ == State::InGeneration ||
                 slots_[*index].state_ == State::Scoring)) {
-    Move(*index, State::Wanted);
+    SetState(*index, State::Wanted);
   }
 }
 
 void
-StepLedger::Hold(const IndexSet& aHeld)
+StepLedger::SetHeld(const IndexSet& aHeld)
 {
   for (std::uint32_t i = 0; i < Size(); ++i) {
     const bool held = aHeld.Contains(i);
     if (held == (slots_[i].state_ == State::Held)) {
       continue;
     }
-    Move(i, held ? State::Held : State::Wanted);
+    SetState(i, held ? State::Held : State::Wanted);
   }
   CompactReady();
 }
@@ -179,7 +179,7 @@
     const auto oldest = OldestVersion(candidate.spans_);
     if (!oldest || *oldest < aOldest) {
       dropped += candidate.tokens_;
-      Move(index, State::Wanted);
+      SetState(index, State::Wanted);
     }
   }
   CompactReady();
@@ -187,22 +187,22 @@
 }
 
 std::vector<std::uint32_t>
-StepLedger::ChooseReady(std::uint32_t aMost) const
+StepLedger::ChooseReady(std::uint32_t aMaxSamples) const
 {
-  const std::size_t count = std::min<std::size_t>(aMost, ready_.size());
+  const std::size_t count = std::min<std::size_t>(aMaxSamples, ready_.size());
   return { ready_.begin(),
            ready_.begin() + static_cast<std::ptrdiff_t>(count) };
 }
 
 std::vector<std::uint32_t>
-StepLedger::ChooseGroups(std::uint32_t aMost) const
+StepLedger::ChooseGroups(std::uint32_t aMaxSamples) const
 {
   std::vector<std::uint32_t> chosen;
   std::vector<bool> seen(groupDone_.size());
   for (const std::uint32_t index : ready_) {
     const std::uint32_t group = index / spec_.groupSize_;
     const bool room =
-      chosen.empty() || chosen.size() + spec_.groupSize_ <= aMost;
+      chosen.empty() || chosen.size() + spec_.groupSize_ <= aMaxSamples;
     if (seen[group] || !room || groupDone_[group] < spec_.groupSize_) {
       continue;
     }
@@ -218,11 +218,11 @@
 }
 
 TakeResult
-StepLedger::Collect(std::uint32_t aMost, bool aWholeGroups) const
+StepLedger::Collect(std::uint32_t aMaxSamples, bool aCompleteGroups) const
 {
   TakeResult result;
   for (const std::uint32_t index :
-       aWholeGroups ? ChooseGroups(aMost) : ChooseReady(aMost)) {
+       aCompleteGroups ? ChooseGroups(aMaxSamples) : ChooseReady(aMaxSamples)) {
     result.samples_.push_back(candidates_.at(index));
   }
   result.remaining_ = Size() - Count(State::Held) -
--- a/src/version/take_client.cpp
+++ b/src/version/take_client.cpp
@@ -8,25 +8,25 @@
 }
 
 TakeSpec
-TakeClient::Next(WeightVersion aVersion, std::uint32_t aMost)
+TakeClient::Next(WeightVersion aVersion, std::uint32_t aMaxSamples)
 {
-  present_ = ++lastNumber_;
+  pending_ = ++lastNumber_;
   TakeSpec take;
   take.step_ = spec_.step_;
   take.version_ = aVersion;
-  take.number_ = present_;
+  take.number_ = pending_;
   take.held_ = held_;
-  take.most_ = aMost;
+  take.maxSamples_ = aMaxSamples;
   return take;
 }
 
 std::vector<Sample>
 TakeClient::OnAnswer(std::uint64_t aNumber, std::vector<Sample> aSamples)
 {
-  if (aNumber != present_) {
+  if (aNumber != pending_) {
     return {};
   }
-  present_ = 0;
+  pending_ = 0;
   for (const Sample& sample : aSamples) {
     held_.Insert(sample.id_.group_ * spec_.groupSize_ + sample.id_.member_);
   }
@@ -34,7 +34,7 @@
 }
 
 bool
-TakeClient::Whole() const noexcept
+TakeClient::IsComplete() const noexcept
 {
   return held_.size() == spec_.prompts_.size() * spec_.groupSize_;
 }
--- a/src/version/trainer_ledger.cpp
+++ b/src/version/trainer_ledger.cpp
@@ -43,20 +43,21 @@
 }
 
 WeightVersion
-TrainerLedger::TakenAt(const StepLedger& aStep) const noexcept
+TrainerLedger::TakeVersion(const StepLedger& aStep) const noexcept
 {
   return std::max(aStep.Spec().version_, trainerVersion_);
 }
 
-StepOutlook
-TrainerLedger::Outlook(const StepLedger& aStep, TimePoint aNow) const noexcept
+StepVersions
+TrainerLedger::VersionsOf(const StepLedger& aStep,
+                          TimePoint aNow) const noexcept
 {
-  StepOutlook outlook;
-  outlook.announced_ = versions_.Newest();
-  outlook.taken_ = TakenAt(aStep);
-  outlook.needed_ =
-    OldestAllowed(rules_.staleness_, versions_, outlook.taken_, aNow);
-  return outlook;
+  StepVersions versions;
+  versions.newest_ = versions_.Newest();
+  versions.takeVersion_ = TakeVersion(aStep);
+  versions.minDeliverable_ =
+    OldestAllowed(rules_.staleness_, versions_, versions.takeVersion_, aNow);
+  return versions;
 }
 
 std::optional<GenerationStart>
@@ -66,30 +67,30 @@
     if (!step.ledger_.AnyWanted()) {
       continue;
     }
-    const StepOutlook outlook = Outlook(step.ledger_, aNow);
-    if (!rules_.policy_->MayStart(outlook)) {
+    const StepVersions versions = VersionsOf(step.ledger_, aNow);
+    if (!rules_.policy_->MayStart(versions)) {
       continue;
     }
     if (const auto sample = step.ledger_.StartNext()) {
-      return GenerationStart{ *sample, rules_.policy_->LeastVersion(outlook) };
+      return GenerationStart{ *sample, rules_.policy_->MinVersion(versions) };
     }
   }
   return std::nullopt;
 }
 
 void
-TrainerLedger::Scoring(const SampleId& aId)
+TrainerLedger::OnScoring(const SampleId& aId)
 {
   if (StepLedger* step = FindOpen(aId.step_)) {
-    step->Scoring(aId);
+    step->OnScoring(aId);
   }
 }
 
 void
-TrainerLedger::Failed(const SampleId& aId)
+TrainerLedger::OnFailed(const SampleId& aId)
 {
   if (StepLedger* step = FindOpen(aId.step_)) {
-    step->Failed(aId);
+    step->OnFailed(aId);
   }
 }
 
@@ -97,20 +98,20 @@
 TrainerLedger::Judge(const Sample& aSample, TimePoint aNow) const
 {
   const StepLedger* step = Find(aSample.id_.step_);
-  if (step == nullptr || !step->Lacks(aSample.id_)) {
+  if (step == nullptr || !step->IsMissing(aSample.id_)) {
     return CandidateVerdict::NotWanted;
   }
   if (!LabelsCertain(aSample, versions_)) {
     return CandidateVerdict::Uncertain;
   }
   const WeightVersion allowed =
-    OldestAllowed(rules_.staleness_, versions_, TakenAt(*step), aNow);
+    OldestAllowed(rules_.staleness_, versions_, TakeVersion(*step), aNow);
   return OldestVersion(aSample.spans_) < allowed ? CandidateVerdict::Stale
                                                  : CandidateVerdict::Kept;
 }
 
 CandidateVerdict
-TrainerLedger::Generated(Sample aSample, TimePoint aNow)
+TrainerLedger::OnGenerated(Sample aSample, TimePoint aNow)
 {
   const CandidateVerdict verdict = Judge(aSample, aNow);
   const std::uint64_t tokens = aSample.tokens_;
@@ -119,11 +120,11 @@
     case CandidateVerdict::NotWanted:
       break;
     case CandidateVerdict::Uncertain:
-      step->Failed(aSample.id_);
+      step->OnFailed(aSample.id_);
       tokens_.uncertain_ += tokens;
       break;
     case CandidateVerdict::Stale:
-      step->Failed(aSample.id_);
+      step->OnFailed(aSample.id_);
       tokens_.stale_ += tokens;
       break;
     case CandidateVerdict::Kept:
@@ -147,8 +148,8 @@
   open->second.lastTake_ = aTake.number_;
   trainerVersion_ = std::max(trainerVersion_, aTake.version_);
   versions_.Announce(aTake.version_, aNow);
-  open->second.ledger_.Hold(aTake.held_);
-  return TakeVerdict::Present;
+  open->second.ledger_.SetHeld(aTake.held_);
+  return TakeVerdict::Current;
 }
 
 TakeResult
@@ -159,10 +160,10 @@
     return {};
   }
   const std::uint64_t dropped = step->DropOlder(
-    OldestAllowed(rules_.staleness_, versions_, TakenAt(*step), aNow));
+    OldestAllowed(rules_.staleness_, versions_, TakeVersion(*step), aNow));
   tokens_.stale_ += dropped;
   tokens_.kept_ -= dropped;
-  return step->Collect(aTake.most_, aTake.wholeGroups_);
+  return step->Collect(aTake.maxSamples_, aTake.completeGroups_);
 }
 
 std::uint64_t
--- a/tests/rollout_play.cpp
+++ b/tests/rollout_play.cpp
@@ -171,7 +171,7 @@
     const ServerEvent only{ 1, "text", std::nullopt };
     static_cast<void>(
       step.ledger_.OnEvent(aItem.index_, only, WeightVersion{ 1 }));
-    step.ledger_.OnWhole(aItem.index_, now_);
+    step.ledger_.OnCompleted(aItem.index_, now_);
     if (--step.open_[aItem.group_] == 0 && step.awaited_ > 0) {
       --step.awaited_;
       outcome_.groupsOnTime_ += now_ - step.asked_ <= Duration{ kDue } ? 1 : 0;
--- a/tests/test_config_log.cpp
+++ b/tests/test_config_log.cpp
@@ -21,14 +21,14 @@
   /// Commits whose answers were lost and that are still to take effect.
   std::deque<std::pair<Manifest, std::uint64_t>> late_;
 
-  CommitAnswer Commit(const EditSession& aSession)
+  CommitOutcome Commit(const EditSession& aSession)
   {
     for (const FileChange& change : aSession.Edit().changes_) {
       blobs_[change.hash_] = change.text_;
     }
     return Replace(aSession.Proposal(), aSession.Modification())
-             ? CommitAnswer::Applied
-             : CommitAnswer::NotApplied;
+             ? CommitOutcome::Applied
+             : CommitOutcome::NotApplied;
   }
 
   bool Replace(const Manifest& aManifest, std::uint64_t aModification)
@@ -43,18 +43,18 @@
   }
 
   /// The answer is lost; the commit takes effect now, later or never.
-  void CommitUnheard(const EditSession& aSession, std::uint64_t aFate)
+  void CommitWithLostAnswer(const EditSession& aSession, std::uint64_t aEffect)
   {
-    if (aFate == 0) {
+    if (aEffect == 0) {
       (void)Commit(aSession);
-    } else if (aFate == 1) {
+    } else if (aEffect == 1) {
       blobs_[aSession.Edit().changes_.front().hash_] =
         aSession.Edit().changes_.front().text_;
       late_.emplace_back(aSession.Proposal(), aSession.Modification());
     }
   }
 
-  void TakeLate()
+  void ApplyLate()
   {
     if (!late_.empty()) {
       (void)Replace(late_.front().first, late_.front().second);
@@ -96,8 +96,8 @@
       break;
     case EditStep::Commit:
       if (aRandom.Below(100) < aLost) {
-        aLog.CommitUnheard(aSession, aRandom.Below(3));
-        aSession.OnCommit(CommitAnswer::Unknown);
+        aLog.CommitWithLostAnswer(aSession, aRandom.Below(3));
+        aSession.OnCommit(CommitOutcome::Unknown);
       } else {
         aSession.OnCommit(aLog.Commit(aSession));
       }
@@ -160,7 +160,7 @@
     EditSession& session = sessions[editor];
     Drive(session, log, random, kLostPercent);
     if (random.Below(4) == 0) {
-      log.TakeLate();
+      log.ApplyLate();
     }
     REQUIRE(session.Next() <= EditStep::Accepted);
     if (session.Next() == EditStep::Accepted) {
@@ -186,7 +186,7 @@
   first.OnManifest(log.manifest_, log.modification_);
   REQUIRE(first.Next() == EditStep::Commit);
   (void)log.Commit(first);
-  first.OnCommit(CommitAnswer::Unknown);
+  first.OnCommit(CommitOutcome::Unknown);
   EditSession second(
     MakeEdit("second", "a.ini", ServiceText("a", 1), ServiceText("a", 2)));
   Finish(second, log);
--- a/tests/test_job_ledger.cpp
+++ b/tests/test_job_ledger.cpp
@@ -62,7 +62,7 @@
 {
   aLedger.OnStarted(aItem);
   REQUIRE(Take(aLedger, aItem, 1));
-  aLedger.OnWhole(aItem, aNow);
+  aLedger.OnCompleted(aItem, aNow);
   aLedger.OnScored(aItem, "sig", aNow);
 }
 
@@ -75,7 +75,7 @@
   REQUIRE(Take(ledger, 0, 1, 5));
   REQUIRE(Take(ledger, 0, 2, 6));
   REQUIRE(Take(ledger, 0, 3, 6));
-  ledger.OnWhole(0, kStart);
+  ledger.OnCompleted(0, kStart);
   REQUIRE(ledger.Unscored() == std::vector<ItemIndex>{ 0 });
   ledger.OnScored(0, "sig", kStart);
   const JobResult result = ledger.ResultOf(0);
@@ -147,8 +147,8 @@
   JobLedger ledger = MakeLedger();
   ledger.OnStarted(0);
   REQUIRE(Take(ledger, 0, 1));
-  ledger.OnWhole(0, kStart);
-  ledger.OnScoreAsked(0);
+  ledger.OnCompleted(0, kStart);
+  ledger.OnScoreRequested(0);
   REQUIRE(ledger.Unscored().empty());
   ledger.OnScoreFailed(0, 0, kStart);
   REQUIRE(ledger.Unscored() == std::vector<ItemIndex>{ 0 });
@@ -203,32 +203,32 @@
   JobSpec spec = MakeSpec();
   spec.targetGroups_ = 2;
   JobLedger ledger(std::move(spec), policy, kStart);
-  const TimePoint lastRound = kStart + 8s - policy.lastRound_;
-  const TimePoint lastCall = kStart + 8s + policy.lastCall_;
-  Complete(ledger, 0, lastRound - 1s);
-  REQUIRE(ledger.Listable(lastRound - 1ms).empty());
-  REQUIRE(ledger.NextDue() == lastRound);
-  REQUIRE_FALSE(ledger.AwaitsLastGroups(lastRound - 1ms));
+  const TimePoint finalFlush = kStart + 8s - policy.finalFlushLead_;
+  const TimePoint graceEnd = kStart + 8s + policy.deadlineGrace_;
+  Complete(ledger, 0, finalFlush - 1s);
+  REQUIRE(ledger.Listable(finalFlush - 1ms).empty());
+  REQUIRE(ledger.NextDue() == finalFlush);
+  REQUIRE_FALSE(ledger.AwaitsLastGroups(finalFlush - 1ms));
   // All that is finished is read once more before the end.
-  REQUIRE(ledger.Listable(lastRound) == std::vector<ItemIndex>{ 0 });
+  REQUIRE(ledger.Listable(finalFlush) == std::vector<ItemIndex>{ 0 });
   ledger.OnListed({ 0 });
-  REQUIRE(ledger.AwaitsLastGroups(lastRound));
-  Complete(ledger, 1, lastRound + 100ms);
-  REQUIRE(ledger.Listable(lastRound + 1s).empty());
+  REQUIRE(ledger.AwaitsLastGroups(finalFlush));
+  Complete(ledger, 1, finalFlush + 100ms);
+  REQUIRE(ledger.Listable(finalFlush + 1s).empty());
   SECTION("and all together when there are enough groups")
   {
-    Complete(ledger, 2, lastRound + 500ms);
-    Complete(ledger, 3, lastRound + 600ms);
-    REQUIRE_FALSE(ledger.AwaitsLastGroups(lastRound + 600ms));
-    REQUIRE(ledger.Listable(lastRound + 600ms) ==
+    Complete(ledger, 2, finalFlush + 500ms);
+    Complete(ledger, 3, finalFlush + 600ms);
+    REQUIRE_FALSE(ledger.AwaitsLastGroups(finalFlush + 600ms));
+    REQUIRE(ledger.Listable(finalFlush + 600ms) ==
             std::vector<ItemIndex>{ 1, 2, 3 });
   }
   SECTION("and for nothing once it is late")
   {
-    REQUIRE(ledger.NextDue() == lastCall);
-    REQUIRE(ledger.Listable(lastCall) == std::vector<ItemIndex>{ 1 });
-    Complete(ledger, 2, lastCall + 1s);
-    REQUIRE(ledger.Listable(lastCall + 1s) == std::vector<ItemIndex>{ 1, 2 });
+    REQUIRE(ledger.NextDue() == graceEnd);
+    REQUIRE(ledger.Listable(graceEnd) == std::vector<ItemIndex>{ 1 });
+    Complete(ledger, 2, graceEnd + 1s);
+    REQUIRE(ledger.Listable(graceEnd + 1s) == std::vector<ItemIndex>{ 1, 2 });
   }
 }
 
@@ -240,7 +240,7 @@
   ledger.OnInterrupted(2);
   REQUIRE(ledger.Listed() == std::vector<ItemIndex>{ 2 });
   REQUIRE(ledger.Waiting(kStart) == std::vector<ItemIndex>{ 0, 1, 3 });
-  ledger.GiveUpLate(kStart + 1h);
+  ledger.AbandonOverdue(kStart + 1h);
   REQUIRE(ledger.ResultOf(2).completed_);
 }
 
@@ -249,9 +249,9 @@
   JobPolicy policy;
   policy.maxQueue_ = 40s;
   JobLedger ledger = MakeLedger(policy);
-  ledger.GiveUpLate(kStart + 39s);
+  ledger.AbandonOverdue(kStart + 39s);
   REQUIRE(ledger.Waiting(kStart).size() == 4);
-  ledger.GiveUpLate(kStart + 40s);
+  ledger.AbandonOverdue(kStart + 40s);
   REQUIRE(ledger.Waiting(kStart).empty());
   REQUIRE(ledger.Listable(kStart + 40s).size() == 4);
 }
@@ -346,13 +346,13 @@
   }
   const JobPolicy policy;
   JobLedger ledger(spec, policy, kStart);
-  REQUIRE(ledger.Waiting(kStart + policy.shortOfPlaces_) ==
+  REQUIRE(ledger.Waiting(kStart + policy.slotShortageDelay_) ==
           std::vector<ItemIndex>{ 0, 3, 2, 1 });
-  REQUIRE(ledger.Waiting(kStart + policy.shortOfPlaces_ + 1ms) ==
+  REQUIRE(ledger.Waiting(kStart + policy.slotShortageDelay_ + 1ms) ==
           std::vector<ItemIndex>{ 3, 2, 0, 1 });
   // What is whole already makes a group need less.
   ledger.OnStarted(0);
   REQUIRE(Take(ledger, 0, 1));
-  ledger.OnWhole(0, kStart + 3s);
+  ledger.OnCompleted(0, kStart + 3s);
   REQUIRE(ledger.Waiting(kStart + 3s) == std::vector<ItemIndex>{ 1, 3, 2 });
 }
--- a/tests/test_job_routes.cpp
+++ b/tests/test_job_routes.cpp
@@ -109,7 +109,7 @@
   mixed.text_ = "a";
   mixed.lastEvent_ = 1;
   mixed.versions_ = { WeightVersion{ 5 }, WeightVersion{ 6 } };
-  mixed.whole_ = true;
+  mixed.complete_ = true;
   fix.runner_.Add(kJob,
                   FencingNumber{ 9 },
                   fix.submission_,
@@ -265,7 +265,7 @@
   whole.text_ = "a";
   whole.lastEvent_ = 1;
   whole.versions_ = { WeightVersion{ 5 } };
-  whole.whole_ = true;
+  whole.complete_ = true;
   fix.jobs_.Accept(kJob, fix.submission_, 1, [&](AcceptResult aResult) {
     fix.fence_ = aResult.fence_;
   });
--- a/tests/test_rollout_play.cpp
+++ b/tests/test_rollout_play.cpp
@@ -56,7 +56,7 @@
   setup.upstreams_ = 3;
   setup.trainers_ = { { 15, 8 }, { 30, 4 }, { 18, 4 } };
   const PlayOutcome inTurn = PlaySeeds(setup);
-  setup.job_.shortOfPlaces_ = std::chrono::hours(1);
+  setup.job_.slotShortageDelay_ = std::chrono::hours(1);
   const PlayOutcome longestFirst = PlaySeeds(setup);
   WARN("groups on time: " << longestFirst.groupsOnTime_
                           << " with the longest items first, "
--- a/tests/test_take_faults.cpp
+++ b/tests/test_take_faults.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Ticks of the small world below; each does at most one action a party.
-constexpr std::uint64_t kLease = 6;
-constexpr std::uint64_t kTakeTimeout = 3;
+/// Ticks of the small simulation below; each does at most one action a party.
+constexpr std::uint64_t kLeaseTicks = 6;
+constexpr std::uint64_t kTakeTimeoutTicks = 3;
 /// Told that the step is not open, take again, generate, deliver.
-constexpr std::uint64_t kOpenAgain = 4;
-constexpr std::uint64_t kFaultLength = 9;
-constexpr std::uint64_t kTickLimit = 400;
+constexpr std::uint64_t kReopenTicks = 4;
+constexpr std::uint64_t kFaultTicks = 9;
+constexpr std::uint64_t kMaxTicks = 400;
 constexpr std::size_t kSamples = 6;
 
 enum class Fault
@@ -66,11 +66,11 @@
 }
 
 /// Two owners, a trainer that keeps its rule, and a network between them.
-class World
+class Simulation
 {
 public:
   /// A fault is brought about right before the action of that index.
-  World(std::vector<std::pair<std::uint64_t, Fault>> aFaults)
+  Simulation(std::vector<std::pair<std::uint64_t, Fault>> aFaults)
     : faults_(std::move(aFaults))
   {
     owners_[0].ledger_.Versions().Announce(WeightVersion{ 1 }, {});
@@ -79,7 +79,7 @@
 
   void Run()
   {
-    while (!trainer_.Whole() && tick_ < kTickLimit) {
+    while (!trainer_.IsComplete() && tick_ < kMaxTicks) {
       ++tick_;
       Act([this] { TrainerTurn(); });
       for (std::size_t i = 0; i < owners_.size(); ++i) {
@@ -115,23 +115,23 @@
       case Fault::KillOwner:
         owners_[owner_] = Owner{};
         owners_[owner_].ledger_.Versions().Announce(WeightVersion{ 1 }, {});
-        owners_[owner_].pausedUntil_ = tick_ + kFaultLength;
-        lapsesAt_ = tick_ + kLease;
+        owners_[owner_].pausedUntil_ = tick_ + kFaultTicks;
+        expiresAt_ = tick_ + kLeaseTicks;
         break;
       case Fault::PauseOwner:
-        owners_[owner_].pausedUntil_ = tick_ + kFaultLength;
-        lapsesAt_ = tick_ + kLease;
+        owners_[owner_].pausedUntil_ = tick_ + kFaultTicks;
+        expiresAt_ = tick_ + kLeaseTicks;
         break;
       case Fault::TwoOwners:
-        bothUntil_ = tick_ + kFaultLength;
+        bothUntil_ = tick_ + kFaultTicks;
         break;
       case Fault::StoreDown:
-        storeDownUntil_ = tick_ + kFaultLength;
+        storeDownUntil_ = tick_ + kFaultTicks;
         break;
       case Fault::ZoneCut:
         cut_ = owner_;
-        cutUntil_ = tick_ + kFaultLength;
-        lapsesAt_ = tick_ + kLease;
+        cutUntil_ = tick_ + kFaultTicks;
+        expiresAt_ = tick_ + kLeaseTicks;
         break;
       case Fault::LoseAnswer:
         answers_.clear();
@@ -140,7 +140,7 @@
         owners_[owner_].requests_.clear();
         break;
       case Fault::DelayAnswers:
-        delayedUntil_ = tick_ + kFaultLength;
+        delayedUntil_ = tick_ + kFaultTicks;
         break;
     }
   }
@@ -148,9 +148,9 @@
   /// A new owner needs the store; then the lease of the old one has lapsed.
   void TakeOver()
   {
-    if (lapsesAt_ != 0 && tick_ >= lapsesAt_ && tick_ >= storeDownUntil_) {
+    if (expiresAt_ != 0 && tick_ >= expiresAt_ && tick_ >= storeDownUntil_) {
       owner_ = 1 - owner_;
-      lapsesAt_ = 0;
+      expiresAt_ = 0;
     }
   }
 
@@ -161,7 +161,7 @@
 
   void TrainerTurn()
   {
-    if (waiting_ && tick_ < sentAt_ + kTakeTimeout) {
+    if (waiting_ && tick_ < sentAt_ + kTakeTimeoutTicks) {
       return;
     }
     const bool other = tick_ < bothUntil_ && tick_ % 2 == 1;
@@ -184,7 +184,7 @@
       sample.id_ = start->sample_;
       sample.tokens_ = 1;
       sample.spans_ = { { WeightVersion{ 1 }, 0, 1 } };
-      aOwner.ledger_.Generated(std::move(sample), {});
+      aOwner.ledger_.OnGenerated(std::move(sample), {});
     }
   }
 
@@ -201,7 +201,7 @@
     const TakeVerdict verdict = owner.ledger_.Accept(request.take_, {});
     Answer answer{ request.take_.number_, {}, false };
     answer.notOpen_ = verdict == TakeVerdict::NotOpen;
-    if (verdict == TakeVerdict::Present) {
+    if (verdict == TakeVerdict::Current) {
       answer.samples_ = owner.ledger_.Collect(request.take_, {}).samples_;
       if (answer.samples_.empty()) {
         return; // the long poll goes on
@@ -248,7 +248,7 @@
   bool waiting_ = false;
   std::uint64_t sentAt_ = 0;
   std::uint64_t lastSample_ = 0;
-  std::uint64_t lapsesAt_ = 0;
+  std::uint64_t expiresAt_ = 0;
   std::uint64_t bothUntil_ = 0;
   std::uint64_t storeDownUntil_ = 0;
   std::uint64_t delayedUntil_ = 0;
@@ -258,10 +258,11 @@
 
 /// @returns how often samples were lost or doubled
 std::size_t
-CountWrong(const World& aWorld)
+CountWrong(const Simulation& aSimulation)
 {
-  std::size_t wrong = kSamples - std::min(kSamples, aWorld.accepted_.size());
-  for (const auto& [id, times] : aWorld.accepted_) {
+  std::size_t wrong =
+    kSamples - std::min(kSamples, aSimulation.accepted_.size());
+  for (const auto& [id, times] : aSimulation.accepted_) {
     wrong += times == 1 ? 0 : 1;
   }
   return wrong;
@@ -270,10 +271,10 @@
 std::uint64_t
 ActionsWithoutFault()
 {
-  World world({});
-  world.Run();
-  REQUIRE(CountWrong(world) == 0);
-  return world.actions_;
+  Simulation simulation({});
+  simulation.Run();
+  REQUIRE(CountWrong(simulation) == 0);
+  return simulation.actions_;
 }
 
 } // namespace
@@ -283,12 +284,13 @@
   const std::uint64_t actions = ActionsWithoutFault();
   REQUIRE(actions > 20);
   for (std::uint64_t at = 0; at < actions; ++at) {
-    World world({ { at, Fault::KillOwner } });
-    world.Run();
+    Simulation simulation({ { at, Fault::KillOwner } });
+    simulation.Run();
     INFO("killed before action " << at);
-    CHECK(CountWrong(world) == 0);
+    CHECK(CountWrong(simulation) == 0);
     // A lease, one take that nobody answers, and opening the step again.
-    CHECK(world.longestGap_ <= kLease + kTakeTimeout + kOpenAgain);
+    CHECK(simulation.longestGap_ <=
+          kLeaseTicks + kTakeTimeoutTicks + kReopenTicks);
   }
 }
 
@@ -301,10 +303,10 @@
     for (std::uint64_t second = first; second < actions + 20; ++second) {
       for (const Fault one : kFaults) {
         for (const Fault two : kFaults) {
-          World world({ { first, one }, { second, two } });
-          world.Run();
+          Simulation simulation({ { first, one }, { second, two } });
+          simulation.Run();
           ++runs;
-          wrong += CountWrong(world);
+          wrong += CountWrong(simulation);
         }
       }
     }
--- a/tests/test_ledger.cpp
+++ b/tests/test_trainer_ledger.cpp
@@ -60,7 +60,7 @@
   std::uint32_t kept = 0;
   while (const auto start = aLedger.StartNext(kStart)) {
     const auto verdict =
-      aLedger.Generated(MakeSample(start->sample_, aVersion), kStart);
+      aLedger.OnGenerated(MakeSample(start->sample_, aVersion), kStart);
     kept += verdict == CandidateVerdict::Kept ? 1 : 0;
   }
   return kept;
@@ -69,7 +69,7 @@
 TakeResult
 TakeNow(TrainerLedger& aLedger, const TakeSpec& aTake, TimePoint aNow = kStart)
 {
-  REQUIRE(aLedger.Accept(aTake, aNow) == TakeVerdict::Present);
+  REQUIRE(aLedger.Accept(aTake, aNow) == TakeVerdict::Current);
   return aLedger.Collect(aTake, aNow);
 }
 
@@ -100,14 +100,14 @@
   CHECK(ledger.Accept(take, kStart) == TakeVerdict::NotOpen);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
   take.number_ = 7;
-  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Present);
-  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Present);
+  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Current);
+  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Current);
   take.number_ = 6;
   CHECK(ledger.Accept(take, kStart) == TakeVerdict::Superseded);
   // A trainer that starts over opens its step again and counts anew.
   CHECK(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Same);
   take.number_ = 1;
-  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Present);
+  CHECK(ledger.Accept(take, kStart) == TakeVerdict::Current);
   CHECK(ledger.Open(MakeStep(1, 2)) == OpenVerdict::Different);
 }
 
@@ -116,12 +116,12 @@
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
   TakeSpec take = MakeTake(1, 1, "");
-  take.wholeGroups_ = true;
-  take.most_ = 1;
+  take.completeGroups_ = true;
+  take.maxSamples_ = 1;
   for (int i = 0; i < 3; ++i) {
     const auto start = ledger.StartNext(kStart);
     REQUIRE(start.has_value());
-    ledger.Generated(MakeSample(start->sample_, 1), kStart);
+    ledger.OnGenerated(MakeSample(start->sample_, 1), kStart);
   }
   // The group is over the most wanted, yet a group is given whole.
   CHECK(TakeNow(ledger, take).samples_.size() == 2);
@@ -141,8 +141,8 @@
   CHECK(ledger.Tokens().kept_ == 0);
   const auto start = ledger.StartNext(kStart);
   REQUIRE(start.has_value());
-  CHECK(start->least_ == WeightVersion{ 2 });
-  CHECK(ledger.Generated(MakeSample(start->sample_, 1), kStart) ==
+  CHECK(start->minVersion_ == WeightVersion{ 2 });
+  CHECK(ledger.OnGenerated(MakeSample(start->sample_, 1), kStart) ==
         CandidateVerdict::Stale);
 }
 
@@ -157,16 +157,16 @@
   for (const std::uint64_t version : { 2, 4 }) {
     swapped.spans_ = { { WeightVersion{ 3 }, 0, 4 },
                        { WeightVersion{ version }, 4, kTokens } };
-    CHECK(ledger.Generated(swapped, kStart) == CandidateVerdict::Uncertain);
+    CHECK(ledger.OnGenerated(swapped, kStart) == CandidateVerdict::Uncertain);
     CHECK(ledger.StartNext(kStart)->sample_ == start->sample_);
   }
   swapped.spans_ = { { WeightVersion{ 3 }, 0, kTokens - 1 } };
-  CHECK(ledger.Generated(swapped, kStart) == CandidateVerdict::Uncertain);
+  CHECK(ledger.OnGenerated(swapped, kStart) == CandidateVerdict::Uncertain);
   // Once announced, a swap in the middle gives two versions, both named.
   ledger.Versions().Announce(WeightVersion{ 4 }, kStart);
   swapped.spans_ = { { WeightVersion{ 3 }, 0, 4 },
                      { WeightVersion{ 4 }, 4, kTokens } };
-  CHECK(ledger.Generated(swapped, kStart) == CandidateVerdict::Kept);
+  CHECK(ledger.OnGenerated(swapped, kStart) == CandidateVerdict::Kept);
   const TakeResult taken = TakeNow(ledger, MakeTake(1, 3, ""));
   REQUIRE(taken.samples_.size() == 1);
   CHECK(taken.samples_.front().spans_ == swapped.spans_);
@@ -187,9 +187,9 @@
   CHECK(versions.OldestWithin(10s, kStart + 11s) == WeightVersion{ 3 });
   CHECK(versions.OldestWithin(10s, kStart + 15s) == WeightVersion{ 4 });
   REQUIRE(ledger.Open(MakeStep(1, 4)) == OpenVerdict::Opened);
-  CHECK(ledger.StartNext(kStart + 5s)->least_ == WeightVersion{ 2 });
+  CHECK(ledger.StartNext(kStart + 5s)->minVersion_ == WeightVersion{ 2 });
   const SampleId id{ StepId{ 1 }, 0, 0 };
-  CHECK(ledger.Generated(MakeSample(id, 3), kStart + 5s) ==
+  CHECK(ledger.OnGenerated(MakeSample(id, 3), kStart + 5s) ==
         CandidateVerdict::Kept);
   CHECK(TakeNow(ledger, MakeTake(1, 4, ""), kStart + 14s).samples_.size() == 1);
   CHECK(TakeNow(ledger, MakeTake(1, 4, ""), kStart + 15s).samples_.empty());
@@ -209,7 +209,7 @@
   ledger.Versions().Announce(WeightVersion{ 2 }, kStart);
   const auto start = ledger.StartNext(kStart);
   REQUIRE(start.has_value());
-  CHECK(start->least_ == WeightVersion{ 2 });
+  CHECK(start->minVersion_ == WeightVersion{ 2 });
 }
 
 TEST_CASE("policies differ in how far they lead")
@@ -231,7 +231,7 @@
   CHECK(early("strict") == 0);
   TrainerLedger ledger = MakeLedger(2, "freshness");
   REQUIRE(ledger.Open(MakeStep(2, 2)) == OpenVerdict::Opened);
-  CHECK(ledger.StartNext(kStart)->least_ == WeightVersion{ 2 });
+  CHECK(ledger.StartNext(kStart)->minVersion_ == WeightVersion{ 2 });
 }
 
 TEST_CASE("a scorer that is down does not hold up generation")
@@ -240,10 +240,10 @@
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
   const auto start = ledger.StartNext(kStart);
   REQUIRE(start.has_value());
-  ledger.Scoring(start->sample_);
+  ledger.OnScoring(start->sample_);
   CHECK(ledger.InFlight() == 0);
   CHECK(ledger.StartNext(kStart)->sample_ != start->sample_);
-  ledger.Failed(start->sample_);
+  ledger.OnFailed(start->sample_);
   CHECK(ledger.StartNext(kStart)->sample_ == start->sample_);
   CHECK(ledger.Progress().front().inGeneration_ == 2);
 }
