--- a/include/marjoramtally/fwd.hpp
+++ b/include/marjoramtally/fwd.hpp
@@ -1,5 +1,5 @@
-/// Forward declarations of the public types most used, for headers that name
-/// them only by pointer or reference. Ids are aliases: include
+/// Forward declarations of commonly used public types, for headers that use
+/// them only by pointer or reference. Ids are type aliases; include
 /// `base/ids.hpp` for them.
 #pragma once
 
--- a/include/marjoramtally/version.hpp
+++ b/include/marjoramtally/version.hpp
@@ -1,5 +1,5 @@
-/// Public header of the version library: what lives for a version of the
-/// configuration or of weights, or for a trainer's step.
+/// Public header of the version library: state whose lifetime is a version of
+/// the configuration or of weights, or a trainer's step.
 #pragma once
 
 #include "marjoramtally/version/config_log.hpp"
--- a/include/marjoramtally/version/config_log.hpp
+++ b/include/marjoramtally/version/config_log.hpp
@@ -1,5 +1,5 @@
 /// The log of accepted configurations: how an edit becomes a revision, and
-/// which revisions a process may put in force. No input or output here.
+/// which revisions a process may apply. Performs no input or output.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -20,97 +20,98 @@
   auto operator<=>(const ManifestFile&) const = default;
 };
 
-/// What is accepted: the files of one revision and the edit that made it.
+/// An accepted revision: its files and the edit that created it.
 struct Manifest
 {
   ConfigRevision revision_;
-  /// Unique id of the edit that made it.
+  /// Unique id of the edit that created it.
   std::string edit_;
-  /// Who made it, as given; for people.
+  /// Author as given by the editor; informational only.
   std::string author_;
-  /// Seconds since 1970, by the editor's clock; for people.
+  /// Seconds since 1970, by the editor's clock; informational only.
   std::uint64_t unixTime_ = 0;
   std::vector<ManifestFile> files_;
   bool operator==(const Manifest&) const = default;
 };
 
-/// @returns the hash of a file in a manifest; empty if it has none
+/// @returns the hash of a file in a manifest; empty if the file is absent
 [[nodiscard]] std::string
 FindHash(const Manifest& aManifest, std::string_view aName);
 
-/// A new content for one file, based on a content that the editor saw.
+/// New content of one file, based on the content that the editor read.
 struct FileChange
 {
   std::string name_;
   /// Hash of the content that the change is based on; empty if absent.
   std::string baseHash_;
-  /// Hash and text of the new content; both empty take the file out.
+  /// Hash and text of the new content; both empty: the file is removed.
   std::string hash_;
   std::string text_;
 };
 
-/// What an operator wants to change, under an id of its own.
+/// Changes requested by an operator, identified by a unique id.
 struct ConfigEdit
 {
   std::string id_;
   std::string author_;
   std::uint64_t unixTime_ = 0;
   std::vector<FileChange> changes_;
-  /// The new revision is above this one, whatever the store shows.
+  /// The new revision exceeds this one, even if the store's revision is lower.
   ConfigRevision aboveRevision_;
 };
 
-/// What the driver of an `EditSession` does next.
+/// The next action for the driver of an `EditSession`.
 enum class EditStep
 {
   /// Read the manifest, then `OnManifest`.
   ReadManifest,
-  /// Read the contents of `MissingBlobs`, then `OnBlobs`.
+  /// Read the blobs of `MissingBlobs`, then `OnBlobs`.
   ReadBlobs,
-  /// Commit `Proposal` if the manifest is unmodified, then `OnCommit`.
+  /// Commit `Proposal` if the manifest is still at `Modification`, then
+  /// `OnCommit`.
   Commit,
-  /// Read the log's record of `Attempted`, then `OnRecord`.
+  /// Read the log record of revision `Attempted`, then `OnRecord`.
   ReadRecord,
-  /// Accepted as `Attempted`.
+  /// Accepted as revision `Attempted`.
   Accepted,
-  /// Nothing to change.
+  /// The edit changes nothing.
   Unchanged,
-  /// Others changed the same files: `Conflicts`.
+  /// Other edits changed the same files, listed by `Conflicts`.
   Conflicted,
-  /// The merged rules have `Problems`.
+  /// The merged rules are invalid; `Problems` lists the findings.
   Rejected,
-  /// An answer was lost for so long that the log no longer tells: a person
-  /// must look.
+  /// The outcome of a commit is unknown and the log no longer has its record:
+  /// an operator must check.
   Unsettled,
 };
 
-/// What is known of a commit.
+/// Outcome of a commit as seen by the driver.
 enum class CommitOutcome
 {
   Applied,
   NotApplied,
-  /// The answer was lost: it may have taken effect, or may still.
+  /// The answer was lost: the commit may have taken effect or may still do so.
   Unknown,
 };
 
-/// Takes one edit to its acceptance against others that race it.
+/// Commits one edit in the presence of concurrent edits.
 ///
-/// An attempt based on the manifest as last read can only ever become the
-/// one revision that it proposes, since the commit compares the manifest's
-/// modification. The log keeps a record of each revision, so that a lost
-/// answer is settled by that record's edit id, even if later edits have
-/// replaced the manifest since.
+/// The commit compares the manifest's modification, so an attempt either
+/// becomes exactly the revision that it proposes or has no effect. The log
+/// keeps a record of each revision: when the answer to a commit is lost, the
+/// edit id in the record of the attempted revision shows whether the commit
+/// took effect, even if later edits have replaced the manifest.
 class EditSession
 {
 public:
   explicit EditSession(ConfigEdit aEdit);
 
   [[nodiscard]] EditStep Next() const noexcept { return step_; }
-  /// @param aModification the store's revision of the manifest; 0 if absent
+  /// @param aModification store revision of the manifest; 0 if absent
   void OnManifest(Manifest aManifest, std::uint64_t aModification);
   void OnBlobs(const std::map<std::string, std::string>& aBlobs);
   void OnCommit(CommitOutcome aAnswer);
-  /// @param aRecord the log's record; nothing if there is none
+  /// @param aRecord record of the attempted revision; empty if absent
   void OnRecord(const std::optional<Manifest>& aRecord);
 
   [[nodiscard]] std::vector<std::string> MissingBlobs() const;
@@ -124,10 +125,10 @@
   {
     return proposal_.revision_;
   }
-  /// @returns whether a commit whose answer was lost is not settled yet
+  /// @returns whether the outcome of a commit is still unknown
   [[nodiscard]] bool MayHaveTakenEffect() const noexcept { return unsettled_; }
   [[nodiscard]] const ConfigEdit& Edit() const noexcept { return edit_; }
-  /// @returns names of files that others changed
+  /// @returns names of files that other edits changed
   [[nodiscard]] const std::vector<std::string>& Conflicts() const noexcept
   {
     return conflicts_;
@@ -142,30 +143,31 @@
   EditStep step_ = EditStep::ReadManifest;
   Manifest base_;
   std::uint64_t modification_ = 0;
-  /// Whether an earlier commit's outcome is not known yet.
+  /// Whether the outcome of an earlier commit is still unknown.
   bool unsettled_ = false;
   Manifest proposal_;
-  /// Contents by hash.
+  /// File contents by hash.
   std::map<std::string, std::string> blobs_;
   std::vector<std::string> conflicts_;
   Findings problems_;
 };
 
-/// What a manifest seen by a process is to it.
+/// How a received manifest relates to the one in force.
 enum class ManifestVerdict
 {
-  /// Higher than what is in force: fetch and apply.
+  /// A higher revision than the one in force: fetch and apply it.
   Newer,
-  /// What is in force.
+  /// The revision in force.
   Current,
-  /// Lower than what is in force, by a source that lags.
+  /// A lower revision than the one in force, from a peer or disk.
   Lagging,
-  /// The store shows less than what it accepted, or another edit under
-  /// the same number: never applied, an operator must act.
+  /// The store returned a lower revision than it had accepted, or any source
+  /// has another edit under the same revision: never applied; an operator must
+  /// act.
   Reverted,
 };
 
-/// Where a manifest was seen.
+/// Where a manifest was read from.
 enum class ManifestSource
 {
   Store,
@@ -173,13 +175,13 @@
   Disk,
 };
 
-/// What is in force in one process; only ever a higher revision.
+/// The configuration in force in one process; its revision only increases.
 class AppliedConfig
 {
 public:
   [[nodiscard]] ManifestVerdict Judge(const Manifest& aManifest,
                                       ManifestSource aSource) const;
-  /// @returns whether it is now in force; false if it is no higher revision
+  /// @returns whether it was applied; false unless its revision is higher
   bool Apply(const Manifest& aManifest);
   [[nodiscard]] const Manifest& InForce() const noexcept { return inForce_; }
 
@@ -187,10 +189,10 @@
   Manifest inForce_;
 };
 
-/// Revisions of the log that are kept.
+/// Number of revisions whose records the log retains.
 inline constexpr std::uint64_t kKeptRevisions = 512;
 
-/// @returns hashes that no kept record of the log refers to
+/// @returns hashes of blobs that no retained log record references
 [[nodiscard]] std::vector<std::string>
 FindGarbage(const std::vector<Manifest>& aLog,
             const std::vector<std::string>& aBlobs);
--- a/include/marjoramtally/version/job.hpp
+++ b/include/marjoramtally/version/job.hpp
@@ -1,4 +1,4 @@
-/// Jobs of many generations: what a trainer submits and what it reads.
+/// Jobs that consist of many generations: submissions and results.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -10,11 +10,11 @@
 
 namespace marjoramtally {
 
-/// A job, as its trainer names it.
+/// Identifies a job; chosen by its trainer.
 using JobId = Strong<std::string, struct JobTag>;
-/// One item of a job.
+/// Identifies an item within its job.
 using ItemId = Strong<std::string, struct ItemTag>;
-/// Items of a group share their prompt.
+/// Identifies a group; items of a group share their prompt.
 using GroupId = Strong<std::string, struct GroupTag>;
 
 /// The request whose signed answer scores an item's text.
@@ -34,10 +34,10 @@
   std::string path_;
   std::vector<std::pair<std::string, std::string>> headers_;
   std::string body_;
-  /// Prompt tokens and the most output tokens.
+  /// Prompt tokens plus the maximum number of output tokens.
   std::uint64_t tokens_ = 0;
-  /// The caller's estimate of the output tokens; right at the median, often
-  /// far off.
+  /// The caller's estimate of the output tokens; accurate at the median, but
+  /// often far off for a single item.
   std::uint64_t lengthHint_ = 0;
   std::optional<ScoreCall> score_;
 };
@@ -47,18 +47,18 @@
 {
   std::uint64_t step_ = 0;
   std::string model_;
-  /// Oldest weight version that may make its text.
+  /// Oldest weight version that may generate its texts.
   WeightVersion minVersion_;
-  /// The trainer waits for this many whole groups.
+  /// Number of complete groups that the trainer waits for.
   std::uint32_t targetGroups_ = 0;
   std::vector<JobItem> items_;
 };
 
-/// What the trainer reads of one item.
+/// The result of one item as read by the trainer.
 struct JobResult
 {
   ItemId id_;
-  /// False: given up, with no text.
+  /// False if the item was abandoned; it then has no text.
   bool completed_ = false;
   std::string text_;
   std::vector<WeightVersion> versions_;
--- a/include/marjoramtally/version/job_ledger.hpp
+++ b/include/marjoramtally/version/job_ledger.hpp
@@ -1,5 +1,6 @@
-/// The state of one job: what is still to run, what each item's text is so
-/// far, and which results may be listed. Events and the time go in.
+/// The state of one job: items to run, the text of each item so far, and the
+/// results that may be listed. Driven by events and time points only; performs
+/// no input or output.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -14,78 +15,77 @@
 /// Index of an item in its job's submission.
 using ItemIndex = std::size_t;
 
-/// Where an item stands.
+/// State of an item.
 enum class ItemState
 {
   Waiting,
   Running,
-  /// Its text is whole and its score is awaited.
+  /// Its text is complete and its score is pending.
   Scoring,
-  /// Its result is final and not yet written.
+  /// Its result is final but not yet written to the store.
   Finished,
-  /// Its result stands at a position of the job.
+  /// Its result is written at a position of the job's results.
   Listed,
 };
 
 /// Limits of one job.
 struct JobPolicy
 {
-  /// The configuration that these limits are of; 0: they are defaults.
+  /// Configuration that sets these limits; 0 for defaults.
   ConfigRevision config_{ 0 };
-  /// Answers that report a failed run before an item is given up.
+  /// Number of reported run failures after which an item is abandoned.
   std::uint32_t maxAttempts_ = 3;
-  /// Failed answers of the score call before an item is given up.
+  /// Number of reported scoring failures after which an item is abandoned.
   std::uint32_t maxScoreFailures_ = 4;
-  /// From acceptance on, an item that has no text yet may be given up.
+  /// Time after acceptance at which unfinished items are abandoned.
   Duration maxQueue_ = std::chrono::seconds(60);
-  /// From acceptance on, results are due.
+  /// Time after acceptance at which results are due.
   Duration runDeadline_ = std::chrono::seconds(10);
   bool singleVersion_ = false;
-  /// A finished result waits this long for the rest of its group, and for as
-  /// many groups as the trainer waits for, before it is written on its own:
-  /// until then the trainer goes on waiting, and each write is a call to the
-  /// store.
+  /// Longest time that a finished result waits for the rest of its group and
+  /// for the target number of groups before it is written on its own. The
+  /// trainer cannot use it earlier, and each write is a call to the store.
   Duration groupWait_ = std::chrono::milliseconds(2000);
-  /// Items that still wait this long after acceptance tell that there are too
-  /// few places for the longest first: then groups are finished one after the
-  /// other, those that need least first. Items of a step begin within 2 s
-  /// where the upstreams suffice.
+  /// Items that have not started this long after acceptance show that upstream
+  /// slots are too few for longest-first order; from then on items start group
+  /// by group, the group with the least remaining work first. With enough
+  /// upstreams all items of a step start within 2 s.
   Duration slotShortageDelay_ = std::chrono::milliseconds(2500);
-  /// This long before the deadline, all that is finished is written. A trainer
-  /// that reads it pauses for half a second, and then holds its next read open
-  /// when its last groups end.
+  /// All finished results are written this long before the deadline. A trainer
+  /// that reads them pauses for half a second, and its next long-poll read is
+  /// then open when its last groups finish.
   Duration finalFlushLead_ = std::chrono::milliseconds(1100);
-  /// From then on, results that do not make enough groups whole wait until this
-  /// long after the deadline: each of them would end a read, and the trainer
-  /// pause, just before its last group is there. Steps are still in time 0.7 s
-  /// after their deadline.
+  /// After that write, results that do not complete the target number of groups
+  /// wait until this long after the deadline. Writing each at once would end
+  /// the trainer's read and make it pause just before its last group is
+  /// available. Steps are still in time 0.7 s after their deadline.
   Duration deadlineGrace_ = std::chrono::milliseconds(100);
 };
 
-/// Text made so far, and how far it goes.
+/// Text generated so far and its last event.
 struct PartialText
 {
   std::string text_;
   std::uint64_t lastEvent_ = 0;
   std::vector<WeightVersion> versions_;
-  /// The upstream ended the text.
+  /// Whether the upstream reported the end of the text.
   bool complete_ = false;
 };
 
-/// One job.
+/// The ledger of one job.
 class JobLedger
 {
 public:
-  /// @param aAccepted when the job was accepted, by our clock
+  /// @param aAccepted time of acceptance, by this instance's clock
   JobLedger(JobSpec aSpec, JobPolicy aPolicy, TimePoint aAccepted);
 
-  /// The limits have changed; what was decided under the old ones stands.
+  /// Replaces the limits; results that are already final do not change.
   void SetPolicy(JobPolicy aPolicy) noexcept { policy_ = aPolicy; }
 
-  /// Results that stand already, read from the store in their order.
+  /// Restores listed results, read from the store in order of position.
   void Restore(const std::vector<JobResult>& aListed);
-  /// Text of an item that an earlier job made; ignored if its versions do not
-  /// fit this job.
+  /// Continues from text that an earlier owner or job generated; ignored if the
+  /// job does not allow its versions.
   void Reuse(ItemIndex aItem, PartialText aText);
 
   [[nodiscard]] const JobSpec& Spec() const noexcept { return spec_; }
@@ -100,36 +100,36 @@
   [[nodiscard]] std::optional<ItemIndex> Find(const ItemId& aId) const;
   /// @returns items to run, in the order in which they should start
   [[nodiscard]] std::vector<ItemIndex> Waiting(TimePoint aNow) const;
-  /// @returns items whose score is to be asked for and is not yet
+  /// @returns items in `Scoring` whose score has not been requested
   [[nodiscard]] std::vector<ItemIndex> Unscored() const;
 
   /// The item was sent to an upstream.
   void OnStarted(ItemIndex aItem);
-  /// An event of the item's stream, made under that version.
-  /// @returns an error if the stream must be given up: the event is not the
-  /// next one, or its version does not fit
+  /// Appends an event of the item's stream, generated under `aVersion`.
+  /// @returns an error if the stream must be abandoned: the event is out of
+  /// sequence, or the job does not allow its version
   [[nodiscard]] Result<bool> OnEvent(ItemIndex aItem,
                                      const ServerEvent& aEvent,
                                      WeightVersion aVersion);
-  /// The run ended before the text was whole; it goes on after its last
-  /// event.
+  /// The run ended before the text was complete; the next run resumes after the
+  /// last event.
   void OnInterrupted(ItemIndex aItem);
-  /// The upstream ended the stream as whole.
+  /// The upstream ended the stream and marked it as complete.
   void OnCompleted(ItemIndex aItem, TimePoint aNow);
-  /// A run that went on after the last event held ended as whole without an
-  /// event: the text may have been whole before. Two such answers prove it,
-  /// since one may be spoilt.
+  /// A run that resumed after the last event received ended as complete without
+  /// a further event, so the text may already have been complete. Two such
+  /// answers are required, since a single one may be faulty.
   void OnEmptyContinuation(ItemIndex aItem, TimePoint aNow);
-  /// The upstream answered that the run failed.
+  /// The upstream reported that the run failed.
   void OnRunFailed(ItemIndex aItem, TimePoint aNow);
-  /// @returns whether an upstream has answered so
+  /// @returns whether an upstream has reported a failed run
   [[nodiscard]] bool RunFailed(ItemIndex aItem) const noexcept
   {
     return items_[aItem].failures_ > 0;
   }
-  /// The upstream answered that the item can never be done.
+  /// The upstream reported a failure that no retry can fix.
   void OnPermanentFailure(ItemIndex aItem, TimePoint aNow);
-  /// The configuration has no route for the item any more.
+  /// The configuration no longer has a route for the item.
   void OnRouteRemoved(ItemIndex aItem, TimePoint aNow);
 
   void OnScoreRequested(ItemIndex aItem)
@@ -137,9 +137,9 @@
     items_[aItem].scoreRequested_ = true;
   }
   void OnScored(ItemIndex aItem, std::string aScore, TimePoint aNow);
-  /// @param aFailures answers in which the scorer itself reported a failure
+  /// @param aFailures number of answers in which the scorer reported a failure
   void OnScoreFailed(ItemIndex aItem, std::uint32_t aFailures, TimePoint aNow);
-  /// @returns how often the scorer may still report a failure
+  /// @returns how many more scoring failures are tolerated
   [[nodiscard]] std::uint32_t ScoreAttemptsLeft(ItemIndex aItem) const noexcept;
   /// @returns whether the scorer has reported a failure
   [[nodiscard]] bool ScoreFailed(ItemIndex aItem) const noexcept
@@ -147,13 +147,13 @@
     return items_[aItem].scoreFailures_ > 0;
   }
 
-  /// Gives up items that waited too long.
+  /// Abandons all unfinished items once `maxQueue_` has passed.
   void AbandonOverdue(TimePoint aNow);
-  /// @returns results to write now, in the order of their positions
+  /// @returns items whose results are to be written now, in order of position
   [[nodiscard]] std::vector<ItemIndex> Listable(TimePoint aNow) const;
-  /// @returns all results that are final and not written
+  /// @returns all items whose results are final but not yet written
   [[nodiscard]] std::vector<ItemIndex> Finished() const;
-  /// @returns why an item was given up; empty if it was not
+  /// @returns why an item was abandoned; empty if it was not
   [[nodiscard]] std::string_view ErrorOf(ItemIndex aItem) const noexcept
   {
     return items_[aItem].error_;
@@ -169,7 +169,7 @@
     return items_[aItem].finished_;
   }
   [[nodiscard]] JobResult ResultOf(ItemIndex aItem) const;
-  /// The results were written; they stand at the next positions.
+  /// The results were written at the next positions, in this order.
   void OnListed(const std::vector<ItemIndex>& aItems);
   [[nodiscard]] const std::vector<ItemIndex>& Listed() const noexcept
   {
@@ -179,16 +179,16 @@
   {
     return listed_.size() == items_.size();
   }
-  /// @returns whether under a tenth of the items is unfinished: trainers wait
-  /// for nine tenths of the groups
+  /// @returns whether less than a tenth of the items is unfinished; trainers
+  /// wait for nine tenths of the groups
   [[nodiscard]] bool FewLeft() const noexcept;
-  /// @returns whether results wait for the last groups of a step that is nearly
-  /// due
+  /// @returns whether results close to the deadline are withheld until the last
+  /// groups are complete
   [[nodiscard]] bool AwaitsLastGroups(TimePoint aNow) const noexcept;
-  /// @returns whether as many groups are whole as the trainer waits for; each
-  /// further one may be the one that it waits for beside
+  /// @returns whether the target number of groups is complete; the trainer may
+  /// still wait for a particular further group
   [[nodiscard]] bool EnoughGroups() const noexcept;
-  /// @returns when `Listable` or `AbandonOverdue` may next have something to do
+  /// @returns when `Listable` or `AbandonOverdue` may next have an effect
   [[nodiscard]] TimePoint NextDue() const noexcept;
 
 private:
@@ -197,22 +197,23 @@
     ItemState state_ = ItemState::Waiting;
     PartialText text_;
     bool errored_ = false;
-    /// A constant text.
+    /// Refers to a string with static lifetime.
     std::string_view error_;
     bool scoreRequested_ = false;
     std::string score_;
     std::uint32_t failures_ = 0;
-    /// Answers that had nothing after the last event.
+    /// Consecutive answers without an event after the last one.
     std::uint32_t emptyContinuations_ = 0;
     std::uint32_t scoreFailures_ = 0;
     TimePoint finished_;
     ConfigRevision decidedUnder_{ 0 };
   };
 
-  /// @param aError why the item is given up; empty: its text is final
+  /// @param aError why the item is abandoned; empty if its text is final
   void Finish(ItemIndex aItem, std::string_view aError, TimePoint aNow);
   [[nodiscard]] bool GroupFinished(ItemIndex aItem) const;
-  /// @returns for each group what its items still need, by their estimates
+  /// @returns estimated output tokens of the items of each group whose text is
+  /// incomplete
   [[nodiscard]] std::map<GroupId, std::uint64_t> RemainingTokensByGroup() const;
   [[nodiscard]] bool VersionsFit(
     const std::vector<WeightVersion>& aVersions) const;
@@ -223,7 +224,7 @@
   std::vector<Item> items_;
   std::vector<ItemIndex> listed_;
   std::map<ItemId, ItemIndex> byId_;
-  /// Items of each group that are not yet finished.
+  /// Number of unfinished items of each group.
   std::map<GroupId, std::uint32_t> open_;
 };
 
--- a/include/marjoramtally/version/job_record.hpp
+++ b/include/marjoramtally/version/job_record.hpp
@@ -1,5 +1,5 @@
-/// How a job is kept in the platform's store: its submission as received, its
-/// owner, and its results in their order.
+/// Serialization of a job's records in the platform's store: its submission as
+/// received, its owner, its partial texts and its results in order.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -9,34 +9,36 @@
 
 namespace marjoramtally {
 
-/// Who runs a job. Its record's revision is the fencing number of the owner.
+/// The owner of a job. The revision of this record is the owner's fencing
+/// number.
 struct JobOwnerRecord
 {
-  /// The owner's incarnation; empty: given back by its last owner.
+  /// The owner's incarnation; empty if the last owner released the job.
   std::string owner_;
   /// Number of items.
   std::uint64_t total_ = 0;
-  /// Acceptance, in milliseconds since the epoch.
+  /// Time of acceptance, in milliseconds since the epoch.
   std::int64_t acceptedMillis_ = 0;
-  /// Who alone may read and end the job; empty: it was accepted while requests
-  /// needed no keys.
+  /// The only customer that may read and end the job; empty if it was accepted
+  /// while requests needed no keys.
   CustomerId customer_{};
 };
 
-/// A submission as it was received, with what it was received for.
+/// A submission as received, with the customer and configuration that it was
+/// accepted under.
 struct JobSubmissionRecord
 {
   std::string host_;
   std::string path_;
   std::string body_;
-  /// The configuration whose routes it was accepted by. An owner that knows
-  /// only an older one cannot tell what is to be done with it.
+  /// The configuration under whose routes it was accepted. An owner that has
+  /// only an older configuration may lack those routes.
   ConfigRevision acceptedUnder_{ 0 };
-  /// Whose job it is; its items run as requests of that customer.
+  /// Owner of the job; its items run as requests of this customer.
   CustomerId customer_{};
 };
 
-/// The text of an item that is not listed yet.
+/// The text of an item whose result is not listed yet.
 struct PartialRecord
 {
   ItemId item_;
--- a/include/marjoramtally/version/lead_policy.hpp
+++ b/include/marjoramtally/version/lead_policy.hpp
@@ -1,6 +1,7 @@
-/// How far generation may lead the trainer. A step opened early names the
-/// version at which its trainer will take it; a policy says how much of the
-/// step may be generated before that version is announced.
+/// Policies for how far generation may run ahead of the trainer. A step opened
+/// early states the weight version at which its trainer will take it; a policy
+/// decides how much of the step may be generated before that version is
+/// announced.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -10,18 +11,18 @@
 
 namespace marjoramtally {
 
-/// What a policy knows of a step when a generation may start.
+/// The weight versions that decide whether a generation of a step may start.
 struct StepVersions
 {
-  /// Newest version announced.
+  /// Newest announced version.
   WeightVersion newest_;
-  /// The version at which the trainer will take the step.
+  /// Version at which the trainer will take the step.
   WeightVersion takeVersion_;
-  /// The oldest version that may be delivered then.
+  /// Oldest version that may be delivered at that time.
   WeightVersion minDeliverable_;
 };
 
-/// Decides whether a generation starts and from which version on.
+/// Decides whether a generation may start and on which versions.
 class LeadPolicy
 {
 public:
@@ -29,20 +30,21 @@
   [[nodiscard]] virtual std::string_view Name() const noexcept = 0;
   [[nodiscard]] virtual bool MayStart(
     const StepVersions& aVersions) const noexcept = 0;
-  /// @returns the oldest version whose engines may generate it
+  /// @returns the oldest version on which the sample may be generated
   [[nodiscard]] virtual WeightVersion MinVersion(
     const StepVersions& aVersions) const noexcept = 0;
 };
 
-/// Finds a policy by its name in the rules: `idle` keeps the trainer fed as
-/// far as its bound allows; `freshness` leads by one version at most, however
-/// wide the bound, and sends only to engines that have the newest version;
-/// `strict` does not lead; `unlimited` is a baseline of the bench.
-/// @returns null if there is none of that name
+/// Finds a policy by its name in the rules. `idle` minimizes the trainer's idle
+/// time: it runs ahead as far as the staleness bound allows. `freshness` runs
+/// ahead by at most one version, whatever the bound, and uses only engines with
+/// the newest version. `strict` does not run ahead. `unlimited` is a baseline
+/// for benchmarks.
+/// @returns null if no policy has that name
 [[nodiscard]] const LeadPolicy*
 FindLeadPolicy(std::string_view aName) noexcept;
 
-/// @returns the names that the operators' rules may use
+/// @returns the policy names that are valid in rules
 [[nodiscard]] std::vector<std::string_view>
 LeadPolicyNames();
 
--- a/include/marjoramtally/version/rules.hpp
+++ b/include/marjoramtally/version/rules.hpp
@@ -1,4 +1,4 @@
-/// The operators' rules, checked.
+/// The operators' rules: their structure, parsing and validation.
 #pragma once
 
 #include "marjoramtally/base/fields.hpp"
@@ -17,21 +17,22 @@
   ServiceId id_;
   /// `engine` or `plain`.
   std::string kind_ = "plain";
-  /// Time a live caller waits unless it says otherwise.
+  /// Deadline of live requests that state none.
   Duration deadline_ = std::chrono::seconds(2);
-  /// Requests in flight at one upstream.
+  /// Maximum requests in flight at one upstream.
   std::uint64_t upstreamLimit_ = 64;
-  /// Percent of its upstreams that keep answering while weights change.
+  /// Percentage of its upstreams that keep serving while weights change.
   std::uint64_t floor_ = 50;
-  /// Most upstreams that switch weights at once; 0 leaves it to the floor.
+  /// Maximum number of upstreams that switch weights at once; 0: only `floor_`
+  /// limits it.
   std::uint64_t wave_ = 0;
-  /// Generations in progress end on the old weights for so long at a
-  /// switch; 0 resumes them on the new ones.
+  /// At a switch of weights, generations in progress may finish on the old
+  /// weights for this long; 0 resumes them on the new ones.
   Duration drain_{ 0 };
-  /// Whether engines are shared out among its live callers and trainers by
-  /// orders of role.
+  /// Whether its engines are allocated to live callers and trainers by role
+  /// orders.
   bool allocate_ = false;
-  /// Engines that live callers have at least and at most.
+  /// Minimum and maximum number of engines allocated to live callers.
   std::uint64_t liveFloor_ = 1;
   std::uint64_t liveCeiling_ = 100'000;
 };
@@ -44,11 +45,11 @@
   std::string zone_;
   /// `IP:port`
   std::string address_;
-  /// Whether it refuses orders with an old fencing number.
+  /// Whether it rejects orders with an outdated fencing number.
   bool fencing_ = true;
-  /// Role that it is ordered to have, unless the service allocates roles.
+  /// Role assigned to it, unless the service allocates roles.
   std::string role_;
-  /// Set by operators to take it out of service.
+  /// Set by operators to remove it from service.
   bool leaving_ = false;
 };
 
@@ -59,31 +60,32 @@
   std::string service_;
   /// Model or adapter that it trains.
   std::string model_;
-  /// Versions a delivered sample may be behind.
+  /// Number of versions that a delivered sample may be behind.
   std::uint64_t staleness_ = 1;
-  /// Time since the oldest version of a delivered sample was superseded;
-  /// zero sets no bound.
+  /// Maximum time since the oldest version of a delivered sample was
+  /// superseded; zero for no bound.
   Duration stalenessAge_{ 0 };
-  /// `idle` or `freshness`: which goes first, and so how far generation
-  /// leads the trainer.
+  /// Name of the lead policy, which decides how far generation runs ahead of
+  /// the trainer.
   std::string policy_ = "idle";
-  /// Share among trainers.
+  /// Weight of this trainer when capacity is shared among trainers.
   std::uint64_t weight_ = 1;
-  /// Generations in flight at once.
+  /// Maximum number of generations in flight.
   std::uint64_t inFlight_ = 64;
   /// `IP:port` of the scoring service; empty for none.
   std::string scorer_;
-  /// SHA-256 of its bearer token, in hexadecimal digits; empty needs none.
+  /// SHA-256 of its bearer token, in hexadecimal digits; empty: no token is
+  /// required.
   std::string tokenHash_;
-  /// Engines that it has at least and at most where the service allocates.
+  /// Minimum and maximum number of engines if the service allocates them.
   std::uint64_t enginesFloor_ = 0;
   std::uint64_t enginesCeiling_ = 100'000;
 };
 
-/// An operator, as named in the rules.
+/// Identifies an operator by its name in the rules.
 using OperatorId = Strong<std::string, struct OperatorTag>;
 
-/// `[operator NAME]`: who may change rules through a daemon.
+/// `[operator NAME]`: an operator that may change rules through a daemon.
 struct OperatorRule
 {
   OperatorId id_;
@@ -91,22 +93,22 @@
   std::string tokenHash_;
 };
 
-/// `[class NAME]`, where the name is live, trainer or background: limits of
-/// one class of callers; percentages.
+/// `[class NAME]`, where NAME is live, trainer or background: limits of one
+/// class of callers.
 struct ClassLimits
 {
-  /// Slots at upstreams that other classes leave free; of live callers.
+  /// Percentage of upstream slots reserved for live callers.
   std::uint64_t reserve_ = 0;
-  /// Least share of dispatches while some wait; of background callers.
+  /// Minimum percentage of dispatches for background callers while any wait.
   std::uint64_t share_ = 0;
-  /// Requests that may wait.
+  /// Maximum number of queued requests.
   std::uint64_t queue_ = 100'000;
 };
 
-/// Limits of all classes, by class.
+/// Limits of all classes, indexed by class.
 using AllClassLimits = std::array<ClassLimits, kRequestClasses>;
 
-/// Limits that hold where the rules say nothing.
+/// Limits of classes that the rules do not set.
 inline constexpr AllClassLimits kDefaultClassLimits{
   ClassLimits{ .reserve_ = 10 },
   ClassLimits{},
@@ -117,18 +119,18 @@
 struct WeightStoreRule
 {
   std::string address_;
-  /// Loads from it at once.
+  /// Maximum number of concurrent loads.
   std::uint64_t parallelLoads_ = 64;
-  /// Loads that may start in a second, by all instances together.
+  /// Maximum number of loads started per second by all instances together.
   std::uint64_t rate_ = 50;
 };
 
-/// `[orders]`: bounds on time for upstreams that ignore fencing numbers.
+/// `[orders]`: time bounds for upstreams that ignore fencing numbers.
 struct OrdersRule
 {
-  /// Covers the transmission of an order and the drift between clocks.
+  /// Allowance for the transmission of an order and for clock drift.
   Duration margin_ = std::chrono::milliseconds(500);
-  /// Longest time in which an order that was received takes effect.
+  /// Maximum time for an order to take effect after it was received.
   Duration effect_ = std::chrono::milliseconds(500);
 };
 
@@ -145,15 +147,15 @@
   OrdersRule orders_;
 };
 
-/// @returns whether any rules were read; before that they do not say what there
-/// is, so that nothing may be denied by them
+/// @returns whether any revision was read; until then the rules are empty and
+/// must not be used to reject requests
 [[nodiscard]] inline bool
 IsLoaded(const Rules& aRules) noexcept
 {
   return aRules.revision_ != ConfigRevision{ 0 };
 }
 
-/// One file of the rules folder.
+/// One file of the rules directory.
 struct RulesFile
 {
   std::string name_;
@@ -161,12 +163,12 @@
   auto operator<=>(const RulesFile&) const = default;
 };
 
-/// Merges files in the order of their names; a later file overrides key by
-/// key.
+/// Merges files in order of their names; a later file overrides individual
+/// keys.
 [[nodiscard]] Checked<IniDocument>
 MergeRulesFiles(std::vector<RulesFile> aFiles);
 
-/// One place that sets a key.
+/// One assignment of a key.
 struct KeyOrigin
 {
   std::string section_;
@@ -174,13 +176,13 @@
   IniValue value_;
 };
 
-/// Finds every place that sets a key, given as `KEY` or `SECTION.KEY`, by
-/// section; of one key the last place is in force.
+/// Finds every assignment of a key, given as `KEY` or `SECTION.KEY`, sorted by
+/// section; the last assignment of a key is in force.
 [[nodiscard]] std::vector<KeyOrigin>
 ExplainKey(std::vector<RulesFile> aFiles, std::string_view aKey);
 
-/// Checks a merged document.
-/// @returns the rules or every finding
+/// Builds rules from a merged document and validates them.
+/// @returns the rules, or all findings
 [[nodiscard]] Checked<Rules>
 BuildRules(const IniDocument& aMerged);
 
--- a/include/marjoramtally/version/rules_edit.hpp
+++ b/include/marjoramtally/version/rules_edit.hpp
@@ -1,24 +1,24 @@
-/// Changes of one key in the text of a rules file.
+/// Sets or removes one key in the text of a rules file.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
 
 namespace marjoramtally {
 
-/// One key of one section and its new value.
+/// A key of a section and its new value.
 struct KeyAssignment
 {
   std::string section_;
   std::string key_;
-  /// Empty takes the key out.
+  /// Empty: the key is removed.
   std::string value_;
 };
 
-/// Parses `SECTION.KEY=VALUE`; the section may hold spaces and dots.
+/// Parses `SECTION.KEY=VALUE`; the section may contain spaces and dots.
 [[nodiscard]] Result<KeyAssignment>
 ParseAssignment(std::string_view aText);
 
-/// Sets a key in a file's text and leaves all other lines as they are.
+/// Sets a key in a file's text and leaves all other lines unchanged.
 /// @returns the new text
 [[nodiscard]] std::string
 AssignKey(std::string_view aText, const KeyAssignment& aAssignment);
--- a/include/marjoramtally/version/sample_journal.hpp
+++ b/include/marjoramtally/version/sample_journal.hpp
@@ -1,6 +1,7 @@
-/// Candidates on an instance's disk, so that a restart need not generate
-/// them anew. It saves work only: whatever it lacks is generated again, and
-/// the trainer's set still decides what is delivered.
+/// Journal of candidates on an instance's disk, which avoids generating them
+/// again after a restart. It is only a cache: missing candidates are generated
+/// again, and the set of samples held by the trainer still decides what is
+/// delivered.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -10,20 +11,21 @@
 
 namespace marjoramtally {
 
-/// What was read back of a step.
+/// Candidates of a step read from the journal.
 struct JournalRead
 {
   std::vector<Sample> samples_;
-  /// Rows whose checksum did not match; they are removed.
+  /// Rows that were removed because their checksum or encoding was invalid.
   std::uint64_t corrupt_ = 0;
 };
 
-/// A bounded, checksummed file of candidates. Not thread-safe.
+/// A bounded file of candidates with checksums. Not thread-safe.
 class SampleJournal
 {
 public:
-  /// @param aFile SQLite database; made if it does not exist
-  /// @param aMaxBytes most bytes of candidates; the oldest are removed
+  /// @param aFile SQLite database; created if it does not exist
+  /// @param aMaxBytes maximum size of all candidates; beyond it the oldest are
+  /// removed
   [[nodiscard]] static Result<std::unique_ptr<SampleJournal>> Open(
     const std::string& aFile,
     std::uint64_t aMaxBytes);
@@ -33,13 +35,13 @@
   [[nodiscard]] virtual Result<bool> Append(const TrainerId& aTrainer,
                                             const StepSpec& aSpec,
                                             const Sample& aSample) = 0;
-  /// Reads the candidates of a step that was opened with this content.
+  /// Reads the candidates of a step with the same number and content.
   [[nodiscard]] virtual Result<JournalRead> Read(const TrainerId& aTrainer,
                                                  const StepSpec& aSpec) = 0;
-  /// Removes a step that was closed.
+  /// Removes the candidates of a closed step.
   [[nodiscard]] virtual Result<bool> Remove(const TrainerId& aTrainer,
                                             StepId aStep) = 0;
-  /// @returns bytes of candidates kept
+  /// @returns size of all stored candidates in bytes
   [[nodiscard]] virtual std::uint64_t Bytes() const noexcept = 0;
 };
 
--- a/include/marjoramtally/version/step_ledger.hpp
+++ b/include/marjoramtally/version/step_ledger.hpp
@@ -1,7 +1,7 @@
 /// The ledger of one trainer step: which samples are wanted, in generation,
-/// being scored, ready, or held by the trainer. The trainer's set of held
-/// samples decides; a ledger can be built anew by any owner from the opened
-/// step and a take.
+/// being scored, ready, or held by the trainer. The set of samples held by the
+/// trainer is authoritative, so any owner can rebuild the ledger from the
+/// opened step and one take.
 #pragma once
 
 #include "marjoramtally/base/index_set.hpp"
@@ -13,7 +13,7 @@
 
 namespace marjoramtally {
 
-/// A step as its trainer opens it.
+/// A step as opened by its trainer.
 struct StepSpec
 {
   StepId step_;
@@ -26,32 +26,32 @@
   bool operator==(const StepSpec&) const = default;
 };
 
-/// What a trainer asks for.
+/// A trainer's request for samples of a step.
 struct TakeSpec
 {
   StepId step_;
-  /// The trainer's weight version now.
+  /// The trainer's current weight version.
   WeightVersion version_;
-  /// Grows with each take of a trainer; the reply repeats it.
+  /// Increases with each take of a trainer; the reply repeats it.
   std::uint64_t number_ = 0;
-  /// Indexes (group × group size + member) the trainer holds.
+  /// Indexes (group × group size + member) that the trainer holds.
   IndexSet held_;
-  /// Most samples wanted.
+  /// Maximum number of samples to return.
   std::uint32_t maxSamples_ = 64;
-  /// Whether only whole groups are wanted; then at least one group is
-  /// given even if it has more than `maxSamples_` samples.
+  /// Whether only complete groups are returned; the first one is returned even
+  /// if it has more than `maxSamples_` samples.
   bool completeGroups_ = false;
 };
 
-/// Samples for a trainer.
+/// Samples returned for a take.
 struct TakeResult
 {
   std::vector<Sample> samples_;
-  /// Samples of the step that the trainer will still lack.
+  /// Samples of the step that the trainer still lacks after this result.
   std::uint32_t remaining_ = 0;
 };
 
-/// How many samples of a step are in which state.
+/// Number of samples of a step by state.
 struct StepProgress
 {
   StepId step_;
@@ -63,7 +63,7 @@
   bool operator==(const StepProgress&) const = default;
 };
 
-/// Samples of one step.
+/// The samples of one step.
 class StepLedger
 {
 public:
@@ -72,7 +72,7 @@
   [[nodiscard]] const StepSpec& Spec() const noexcept { return spec_; }
   [[nodiscard]] std::uint32_t Size() const noexcept;
   [[nodiscard]] StepProgress Progress() const noexcept;
-  /// @returns whether a sample is to be generated
+  /// @returns whether any sample is waiting for generation
   [[nodiscard]] bool AnyWanted() const noexcept;
   /// @returns the next sample to generate, marked as in generation
   [[nodiscard]] std::optional<SampleId> StartNext();
@@ -86,11 +86,11 @@
   /// Records that a generation or its scoring failed; the sample is wanted
   /// again.
   void OnFailed(const SampleId& aId);
-  /// Takes over the trainer's set: what it holds is done, and what it no
-  /// longer holds is wanted again.
+  /// Applies the trainer's set of held samples: samples in it are held, and
+  /// samples that it no longer contains are wanted again.
   void SetHeld(const IndexSet& aHeld);
-  /// Drops candidates with a version below `aOldest`.
-  /// @returns tokens dropped
+  /// Drops candidates whose oldest version is below `aOldest`.
+  /// @returns number of tokens dropped
   std::uint64_t DropOlder(WeightVersion aOldest);
   /// @returns ready samples, in the order in which they became ready
   [[nodiscard]] TakeResult Collect(std::uint32_t aMaxSamples,
@@ -111,7 +111,7 @@
   struct Slot
   {
     State state_ = State::Wanted;
-    /// Whether the index stands in `requeued_`.
+    /// Whether the index is in `requeued_`.
     bool queued_ = false;
   };
 
@@ -129,11 +129,11 @@
   StepSpec spec_;
   std::vector<Slot> slots_;
   std::array<std::uint32_t, kStates> counts_{};
-  /// Members of each group that are ready or held.
+  /// Number of samples of each group that are ready or held.
   std::vector<std::uint32_t> groupDone_;
-  /// Indexes from here on were never started.
+  /// Samples with this or a higher index were never started.
   std::uint32_t nextUnstarted_ = 0;
-  /// Indexes wanted again; they go before those never started.
+  /// Indexes that are wanted again; they start before those never started.
   std::vector<std::uint32_t> requeued_;
   /// Indexes that are ready, in the order in which they became so.
   std::vector<std::uint32_t> ready_;
--- a/include/marjoramtally/version/take_client.hpp
+++ b/include/marjoramtally/version/take_client.hpp
@@ -1,27 +1,28 @@
-/// The rule that a trainer keeps so that every sample of a step reaches it
-/// exactly once: one take at a time, only the answer to the present take
-/// counts, and the set of samples that it holds goes with each take.
+/// Client side of the take protocol, by which every sample of a step reaches
+/// the trainer exactly once: only one take is outstanding at a time, only the
+/// answer to the latest take is accepted, and each take carries the set of
+/// samples that the trainer holds.
 #pragma once
 
 #include "marjoramtally/version/step_ledger.hpp"
 
 namespace marjoramtally {
 
-/// One step as its trainer takes it.
+/// The takes of one step.
 class TakeClient
 {
 public:
   explicit TakeClient(StepSpec aSpec);
 
   [[nodiscard]] const StepSpec& Spec() const noexcept { return spec_; }
-  /// Begins a take; whatever still answers an earlier one is void.
+  /// Starts a take; answers to earlier takes are ignored from then on.
   [[nodiscard]] TakeSpec Next(WeightVersion aVersion,
                               std::uint32_t aMaxSamples);
-  /// Takes an answer.
-  /// @returns its samples, or none if it does not answer the present take
+  /// Processes the answer to a take.
+  /// @returns its samples, or none if it does not answer the pending take
   [[nodiscard]] std::vector<Sample> OnAnswer(std::uint64_t aNumber,
                                              std::vector<Sample> aSamples);
-  /// @returns whether all samples are held
+  /// @returns whether all samples of the step are held
   [[nodiscard]] bool IsComplete() const noexcept;
   [[nodiscard]] const IndexSet& Held() const noexcept { return held_; }
 
@@ -29,7 +30,7 @@
   StepSpec spec_;
   IndexSet held_;
   std::uint64_t lastNumber_ = 0;
-  /// Number of the take that waits for its answer; 0 for none.
+  /// Number of the take that awaits its answer; 0 if there is none.
   std::uint64_t pending_ = 0;
 };
 
--- a/include/marjoramtally/version/trainer_ledger.hpp
+++ b/include/marjoramtally/version/trainer_ledger.hpp
@@ -1,5 +1,5 @@
-/// The open steps of one trainer: what to generate next, which candidates
-/// may be delivered, which take is the present one.
+/// The open steps of one trainer: which sample to generate next, which
+/// candidates may be delivered, and which take is current.
 #pragma once
 
 #include "marjoramtally/version/lead_policy.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// What the operators' rules say of a trainer's samples.
+/// Rules for the samples of one trainer.
 struct LedgerRules
 {
   StalenessRule staleness_;
@@ -16,37 +16,38 @@
   const LeadPolicy* policy_ = FindLeadPolicy("idle");
 };
 
-/// What came of opening a step.
+/// Result of opening a step.
 enum class OpenVerdict
 {
   Opened,
-  /// It was open with the same content.
+  /// The step was already open with the same content.
   Same,
-  /// It is open with another content.
+  /// The step is already open with different content.
   Different,
-  /// As many steps as may be open are open.
+  /// `kMaxOpenSteps` steps are open.
   TooMany,
 };
 
-/// What became of a candidate.
+/// How the ledger handles a candidate.
 enum class CandidateVerdict
 {
   Kept,
-  /// The sample is ready or held already, or its step is not open.
+  /// The sample is already ready or held, or its step is not open.
   NotWanted,
-  /// Its oldest version is over the bound already.
+  /// Its oldest version exceeds the staleness bound.
   Stale,
-  /// Its labels do not cover it or name a version never announced.
+  /// Its labels do not cover all tokens or name a version that was never
+  /// announced.
   Uncertain,
 };
 
-/// Whether a take is the trainer's present one.
+/// Whether a take is the latest one of the trainer.
 enum class TakeVerdict
 {
   Current,
-  /// The step must be opened (again) first.
+  /// The trainer must open the step first, or open it again.
   NotOpen,
-  /// A take with a higher number came before.
+  /// A take with a higher number was received before.
   Superseded,
 };
 
@@ -54,11 +55,11 @@
 struct GenerationStart
 {
   SampleId sample_;
-  /// The oldest version that may generate it.
+  /// Oldest weight version that may generate the sample.
   WeightVersion minVersion_;
 };
 
-/// Tokens by what became of them.
+/// Tokens by how their candidate was handled.
 struct TokenCounters
 {
   std::uint64_t kept_ = 0;
@@ -66,11 +67,11 @@
   std::uint64_t uncertain_ = 0;
 };
 
-/// Ledger of one trainer. Not thread-safe.
+/// The ledger of one trainer. Not thread-safe.
 class TrainerLedger
 {
 public:
-  /// Steps that may be open at once.
+  /// Maximum number of open steps.
   static constexpr std::size_t kMaxOpenSteps = 8;
 
   void SetRules(const LedgerRules& aRules) noexcept { rules_ = aRules; }
@@ -78,27 +79,28 @@
   [[nodiscard]] VersionHistory& Versions() noexcept { return versions_; }
 
   [[nodiscard]] OpenVerdict Open(const StepSpec& aSpec);
-  /// Ends a step; whatever is still generated for it is not wanted.
+  /// Closes a step; candidates still in generation are discarded on arrival.
   void Close(StepId aStep);
-  /// @returns the step if it is open
+  /// @returns the step, or null if it is not open
   [[nodiscard]] const StepLedger* Find(StepId aStep) const;
 
-  /// @returns the next generation to start, earlier steps first
+  /// @returns the next generation to start, by ascending step
   [[nodiscard]] std::optional<GenerationStart> StartNext(TimePoint aNow);
   void OnScoring(const SampleId& aId);
   void OnFailed(const SampleId& aId);
-  /// @returns what would become of a candidate now
+  /// @returns how `OnGenerated` would handle a candidate now
   [[nodiscard]] CandidateVerdict Judge(const Sample& aSample,
                                        TimePoint aNow) const;
-  /// Takes a candidate; unless kept, the sample is wanted again.
+  /// Adds a candidate; if it is stale or uncertain, the sample is generated
+  /// again.
   CandidateVerdict OnGenerated(Sample aSample, TimePoint aNow);
 
-  /// Takes over the trainer's version and its set of held samples.
+  /// Records the trainer's version and its set of held samples.
   [[nodiscard]] TakeVerdict Accept(const TakeSpec& aTake, TimePoint aNow);
-  /// @returns what an accepted take gets now
+  /// @returns the samples for an accepted take; drops those that became stale
   [[nodiscard]] TakeResult Collect(const TakeSpec& aTake, TimePoint aNow);
 
-  /// @returns generations in progress over all steps
+  /// @returns generations in progress in all steps
   [[nodiscard]] std::uint64_t InFlight() const noexcept;
   [[nodiscard]] std::vector<StepProgress> Progress() const;
   [[nodiscard]] const TokenCounters& Tokens() const noexcept { return tokens_; }
@@ -107,7 +109,7 @@
   struct OpenStepState
   {
     StepLedger ledger_;
-    /// Highest number of a take.
+    /// Highest take number received.
     std::uint64_t lastTake_ = 0;
   };
 
@@ -119,7 +121,7 @@
 
   LedgerRules rules_;
   VersionHistory versions_;
-  /// The trainer's version as its takes gave it.
+  /// Highest version reported by the trainer's takes.
   WeightVersion trainerVersion_;
   std::map<StepId, OpenStepState> steps_;
   TokenCounters tokens_;
--- a/src/version/config_log.cpp
+++ b/src/version/config_log.cpp
@@ -44,7 +44,8 @@
   const bool moved = aModification != modification_;
   base_ = std::move(aManifest);
   if (unsettled_ && moved) {
-    // The attempt can no longer take effect; its record tells if it did.
+    // The commit compared an older modification and can no longer take effect;
+    // the record of its revision shows whether it did.
     modification_ = aModification;
     step_ = EditStep::ReadRecord;
     return;
@@ -103,7 +104,8 @@
   if (MissingBlobs().empty()) {
     Check();
   } else {
-    // Garbage was collected since the manifest was read: read it again.
+    // Blobs were collected as garbage after the manifest was read: read the
+    // manifest again.
     step_ = EditStep::ReadManifest;
   }
 }
@@ -136,7 +138,7 @@
   if (aAnswer == CommitOutcome::Unknown) {
     unsettled_ = true;
   }
-  // Also "not applied" may follow an earlier attempt that did apply.
+  // Also read it after NotApplied: an earlier attempt may have been applied.
   step_ = EditStep::ReadManifest;
 }
 
--- a/src/version/job_ledger.cpp
+++ b/src/version/job_ledger.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::string_view kNoError;
-/// Empty answers that prove a text to be whole.
+/// Empty answers after which a text counts as complete.
 constexpr std::uint32_t kMinEmptyContinuations = 2;
-constexpr std::string_view kRestoredError = "given up by an earlier owner";
+constexpr std::string_view kRestoredError = "abandoned by an earlier owner";
 
 } // namespace
 
@@ -96,8 +96,8 @@
       waiting.push_back(i);
     }
   }
-  // The longest first: a text of 195 events takes 7 s of the 7.5 s in which
-  // a step is due.
+  // Longest first: a text of 195 events takes 7 s of the 7.5 s after which a
+  // step is due.
   std::stable_sort(
     waiting.begin(), waiting.end(), [this](auto aLeft, auto aRight) {
       return spec_.items_[aLeft].lengthHint_ > spec_.items_[aRight].lengthHint_;
@@ -138,7 +138,7 @@
 {
   PartialText& text = items_[aItem].text_;
   if (!aEvent.id_ || *aEvent.id_ != text.lastEvent_ + 1) {
-    return Error{ ErrorKind::BadInput, "the event is not the next one" };
+    return Error{ ErrorKind::BadInput, "the event is out of sequence" };
   }
   auto versions = text.versions_;
   if (std::find(versions.begin(), versions.end(), aVersion) == versions.end()) {
@@ -146,7 +146,8 @@
   }
   if (!VersionsFit(versions)) {
     text = {};
-    return Error{ ErrorKind::Conflict, "the weight version does not fit" };
+    return Error{ ErrorKind::Conflict,
+                  "the job does not allow the weight version" };
   }
   text.versions_ = std::move(versions);
   if (text.lastEvent_ > 0) {
@@ -204,7 +205,7 @@
 void
 JobLedger::OnPermanentFailure(ItemIndex aItem, TimePoint aNow)
 {
-  Finish(aItem, "its upstream says that it can never be done", aNow);
+  Finish(aItem, "its upstream reported a permanent failure", aNow);
 }
 
 void
@@ -266,7 +267,7 @@
     return;
   }
   for (ItemIndex i = 0; i < items_.size(); ++i) {
-    Finish(i, "its time was over", aNow);
+    Finish(i, "its time limit expired", aNow);
   }
 }
 
@@ -279,11 +280,11 @@
 bool
 JobLedger::EnoughGroups() const noexcept
 {
-  const auto whole =
+  const auto complete =
     std::count_if(open_.begin(), open_.end(), [](const auto& aGroup) {
       return aGroup.second == 0;
     });
-  return static_cast<std::uint64_t>(whole) >= spec_.targetGroups_;
+  return static_cast<std::uint64_t>(complete) >= spec_.targetGroups_;
 }
 
 bool
--- a/src/version/job_record.cpp
+++ b/src/version/job_record.cpp
@@ -14,7 +14,7 @@
   return aValue.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// Runs a reader; what it does not find is an error that names the record.
+/// Calls `aReader` and converts JSON exceptions to errors that name the record.
 template<typename Reader>
 auto
 Read(const char* aWhat, Reader aReader) -> Result<decltype(aReader())>
@@ -131,7 +131,7 @@
 std::string
 WriteSubmissionRecord(const JobSubmissionRecord& aRecord)
 {
-  // The body follows the first line as it was received.
+  // The body follows the first line exactly as received.
   Json head{ { "host", aRecord.host_ },
              { "path", aRecord.path_ },
              { "config", aRecord.acceptedUnder_.Get() } };
--- a/src/version/lead_policy.cpp
+++ b/src/version/lead_policy.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Versions that generation leads the trainer where freshness goes first.
+/// Versions by which `freshness` may run ahead of the newest announced one.
 constexpr std::uint64_t kMaxFreshnessLead = 1;
 
-/// Starts whatever can still be fresh enough when it is taken.
+/// Starts every sample that can still be within the staleness bound when it is
+/// taken.
 class IdlePolicy final : public LeadPolicy
 {
 public:
@@ -30,7 +31,8 @@
   }
 };
 
-/// Leads by one version, however wide the bound, and samples only the newest.
+/// Runs ahead by at most one version, whatever the bound, and generates on the
+/// newest version only.
 class FreshnessPolicy final : public LeadPolicy
 {
 public:
@@ -53,7 +55,7 @@
   }
 };
 
-/// Generates each step at the very version at which it is taken.
+/// Generates each step only on the version at which it is taken.
 class StrictPolicy final : public LeadPolicy
 {
 public:
@@ -73,7 +75,7 @@
   }
 };
 
-/// Starts all that is open, whatever its age will be.
+/// Starts every sample of open steps, regardless of staleness.
 class UnlimitedPolicy final : public LeadPolicy
 {
 public:
--- a/src/version/rules_check.cpp
+++ b/src/version/rules_check.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Checks that a trainer's policy is one that there is.
+/// Checks that a trainer's lead policy exists.
 void
 CheckPolicy(const IniDocument& aMerged,
             const TrainerRule& aRule,
@@ -24,15 +24,16 @@
   }
   const std::string section = "trainer " + aRule.id_.Get();
   aOut.Add(aMerged.at(section).at("policy").place_,
-           "[" + section + "] policy = '" + aRule.policy_ + "': none of " +
-             known);
+           "[" + section + "] policy = '" + aRule.policy_ +
+             "': must be one of " + known);
 }
 
 } // namespace
 
 namespace impl {
 
-/// Reports what is no hash, without repeating it: it may be the token.
+/// Reports an invalid token hash without printing it, since it may be the token
+/// itself.
 void
 CheckTokenHash(const IniDocument& aMerged,
                const std::string& aSection,
@@ -80,7 +81,7 @@
       const IniSection& section = aMerged.at("service " + id.Get());
       aOut.Add(section.at("kind").place_,
                "[service " + id.Get() + "] kind = '" + rule.kind_ +
-                 "': neither engine nor plain");
+                 "': must be engine or plain");
     }
   }
 }
--- a/src/version/rules_edit.cpp
+++ b/src/version/rules_edit.cpp
@@ -32,7 +32,7 @@
   return lines;
 }
 
-/// @returns the section that a line opens, if it does
+/// @returns the name of the section that starts on a line, if any
 std::optional<std::string>
 OpenedSection(const std::string& aLine)
 {
@@ -51,12 +51,12 @@
   return equals != std::string::npos && Trim(aLine.substr(0, equals)) == aKey;
 }
 
-/// Where a key stands, or where it would be put.
+/// Where a key is set, or where it would be inserted.
 struct KeyLocation
 {
-  /// Line of the key, if it is there.
+  /// Line that sets the key, if any.
   std::optional<std::size_t> line_;
-  /// Line after the section's last line that is not blank, if it is there.
+  /// Line after the last non-blank line of the section, if it exists.
   std::optional<std::size_t> insertAt_;
 };
 
@@ -107,7 +107,8 @@
       !plain(assignment.section_) || !plain(assignment.key_) ||
       assignment.value_.find_first_of("\n\r") != std::string::npos) {
     return Error{ ErrorKind::BadInput,
-                  "section, key and value stand on one line" };
+                  "section and key must not be empty, section and key must not "
+                  "contain brackets, and none may contain a line break" };
   }
   return assignment;
 }
--- a/src/version/rules_impl.hpp
+++ b/src/version/rules_impl.hpp
@@ -1,4 +1,4 @@
-/// The parts of the rules' checks that stand in units of their own.
+/// Internal functions that read and check rules.
 #pragma once
 
 #include "marjoramtally/version/rules.hpp"
@@ -12,7 +12,7 @@
             Rules& aRules,
             Findings& aFindings);
 
-/// Checks what one section says of another.
+/// Checks references between sections and values that depend on other sections.
 void
 CheckReferences(const IniDocument& aMerged,
                 const Rules& aRules,
--- a/src/version/rules_sections.cpp
+++ b/src/version/rules_sections.cpp
@@ -7,13 +7,15 @@
 namespace {
 
 constexpr std::uint64_t kMaxStaleness = 1000;
-/// A week, in microseconds.
+/// One week.
 constexpr std::uint64_t kMaxAgeMicros = 604'800'000'000;
 constexpr std::uint64_t kMaxWeight = 1000;
 constexpr std::uint64_t kMaxReserve = 90;
 constexpr std::uint64_t kMaxInFlight = 100'000;
 constexpr std::uint64_t kMaxDrainMicros = 600'000'000;
 
+// In the tables below, bounds of durations are in microseconds.
+
 constexpr std::array<FieldSpec<ServiceRule>, 9> kServiceFields{ {
   { "kind", &ServiceRule::kind_, true },
   { "deadline", &ServiceRule::deadline_, false, 1'000, 3'600'000'000 },
@@ -70,14 +72,14 @@
   { "queue", &ClassLimits::queue_, false, 1, 1'000'000 },
 } };
 
-/// The place of a section's first key.
+/// @returns the source location of a section's first key
 SourcePlace
 FirstKeyLocation(const IniSection& aSection)
 {
   return aSection.empty() ? SourcePlace{} : aSection.begin()->second.place_;
 }
 
-/// Reads `[KIND NAME]` into the map under its name.
+/// Reads `[KIND NAME]` and adds it to `aOut` under its name.
 template<typename Id, typename Rule>
 void
 ReadNamed(const std::string& aSectionName,
@@ -98,8 +100,8 @@
   aOut.emplace(rule.id_, std::move(rule));
 }
 
-/// Reads `[class NAME]`; the reserve is of live callers, the share of
-/// background callers, and both are refused elsewhere.
+/// Reads `[class NAME]`. Only live callers have `reserve` and only background
+/// callers have `share`; elsewhere these keys are findings.
 void
 ReadClass(const std::string& aSectionName,
           const std::string& aName,
@@ -111,7 +113,7 @@
   if (!named) {
     aFindings.Add(FirstKeyLocation(aSection),
                   "[" + aSectionName +
-                    "]: the classes are live, trainer and background");
+                    "]: the class must be live, trainer or background");
     return;
   }
   ReadFields<ClassLimits>(aSectionName,
@@ -124,8 +126,9 @@
     const auto key = aSection.find(aKey);
     if (key != aSection.end() && *named != aOwner) {
       aFindings.Add(key->second.place_,
-                    "[" + aSectionName + "] " + aKey + ": only [class " +
-                      std::string(ToString(aOwner)) + "] has it");
+                    "[" + aSectionName + "] " + aKey +
+                      ": valid only in [class " +
+                      std::string(ToString(aOwner)) + "]");
     }
   };
   refuse("reserve", RequestClass::Live);
@@ -193,7 +196,7 @@
   } else {
     aFindings.Add(FirstKeyLocation(aSection),
                   "[" + aSectionName +
-                    "] is none of [service NAME], [upstream NAME], "
+                    "] must be one of [service NAME], [upstream NAME], "
                     "[trainer NAME], [operator NAME], [class NAME], "
                     "[weight-store], [orders]");
   }
--- a/src/version/sample_journal.cpp
+++ b/src/version/sample_journal.cpp
@@ -41,7 +41,7 @@
 };
 using Database = std::unique_ptr<sqlite3, CloseDatabase>;
 
-/// One prepared statement; parameters are bound in order.
+/// A prepared statement; parameters are bound in order.
 class Statement
 {
 public:
@@ -96,7 +96,8 @@
   int bound_ = 0;
 };
 
-/// Tells steps of the same number but another content apart.
+/// @returns a hash that distinguishes steps with equal numbers but different
+/// content
 std::uint64_t
 ContentOf(const StepSpec& aSpec)
 {
--- a/src/version/staleness.cpp
+++ b/src/version/staleness.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Announced at a time that nobody remembers: before any other.
+/// Unknown time of announcement; earlier than any other.
 constexpr TimePoint kUnknownTime{ Duration::min() };
 
 } // namespace
--- a/tests/test_config_log.cpp
+++ b/tests/test_config_log.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The store as an editor sees it; can lose answers and apply late.
+/// Fake store that can lose the answer to a commit or apply a commit late.
 class FakeLog
 {
 public:
@@ -18,7 +18,7 @@
   std::uint64_t modification_ = 0;
   std::map<std::uint64_t, Manifest> records_;
   std::map<std::string, std::string> blobs_;
-  /// Commits whose answers were lost and that are still to take effect.
+  /// Commits with lost answers that have not taken effect yet.
   std::deque<std::pair<Manifest, std::uint64_t>> late_;
 
   CommitOutcome Commit(const EditSession& aSession)
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /// The answer is lost; the commit takes effect now, later or never.
+  /// Loses the answer; the commit takes effect now (0), later (1) or never.
   void CommitWithLostAnswer(const EditSession& aSession, std::uint64_t aEffect)
   {
     if (aEffect == 0) {
@@ -71,7 +71,7 @@
 {
   ConfigEdit edit;
   edit.id_ = aId;
-  // The text stands for its own hash.
+  // The text serves as its own hash.
   edit.changes_.push_back({ aFile, aBase, aText, aText });
   return edit;
 }
@@ -83,7 +83,7 @@
          "]\nkind = plain\nupstream-limit = " + std::to_string(aLimit) + "\n";
 }
 
-/// Takes the step that a session asks for.
+/// Performs the next step of a session.
 void
 Drive(EditSession& aSession, FakeLog& aLog, Random& aRandom, unsigned aLost)
 {
@@ -131,7 +131,8 @@
 
 } // namespace
 
-TEST_CASE("two editors race 1,000 edits with lost answers: none lost or twice")
+TEST_CASE(
+  "1,000 concurrent edits with lost answers: none is lost or applied twice")
 {
   constexpr std::uint64_t kEdits = 500;
   constexpr unsigned kLostPercent = 10;
@@ -170,8 +171,8 @@
       session = next(editor);
     }
   }
-  // Each edit stands once in the log, under the revision that was reported,
-  // and the log has no other records: all readers see this one order.
+  // The log has each edit exactly once, under the reported revision, and no
+  // other records, so that all readers see the same order.
   REQUIRE(log.records_.size() == 2 * kEdits);
   for (const auto& [id, revision] : accepted) {
     CHECK(log.records_.at(revision.Get()).edit_ == id);
@@ -179,7 +180,8 @@
   CHECK(log.manifest_.revision_ == ConfigRevision{ 2 * kEdits });
 }
 
-TEST_CASE("an edit applied unheard, then superseded, is known as accepted")
+TEST_CASE(
+  "an edit with a lost answer is reported as accepted even if superseded")
 {
   FakeLog log;
   EditSession first(MakeEdit("first", "a.ini", "", ServiceText("a", 1)));
@@ -197,7 +199,8 @@
   CHECK(log.manifest_.edit_ == "second");
 }
 
-TEST_CASE("edits of one file conflict, edits of different files both win")
+TEST_CASE(
+  "edits of one file conflict, edits of different files are both accepted")
 {
   FakeLog log;
   EditSession first(MakeEdit("1", "a.ini", "", ServiceText("a", 1)));
@@ -215,7 +218,7 @@
   CHECK(FindHash(log.manifest_, "b.ini") == ServiceText("b", 3));
 }
 
-TEST_CASE("a re-based edit is checked against what others wrote")
+TEST_CASE("a rebased edit is validated together with the other edits")
 {
   FakeLog log;
   EditSession base(MakeEdit("1", "a.ini", "", ServiceText("a", 1)));
@@ -232,7 +235,7 @@
   CHECK(uses.Problems().Items().front().place_ == SourcePlace{ "t.ini", 2 });
 }
 
-TEST_CASE("only a higher revision is applied, and an older store is told")
+TEST_CASE("only a higher revision is applied, and a reverted store is detected")
 {
   AppliedConfig applied;
   Manifest manifest;
@@ -249,7 +252,8 @@
   CHECK(applied.Judge(older, ManifestSource::Store) ==
         ManifestVerdict::Reverted);
   CHECK(applied.Judge(older, ManifestSource::Peer) == ManifestVerdict::Lagging);
-  // An older store in which others went on reaches the same number.
+  // A store restored to an older state reaches the same revision with another
+  // edit.
   Manifest fork = manifest;
   fork.edit_ = "other";
   CHECK(applied.Judge(fork, ManifestSource::Peer) == ManifestVerdict::Reverted);
@@ -257,7 +261,7 @@
   CHECK(applied.InForce().edit_ == "e5");
 }
 
-TEST_CASE("blobs that no kept record refers to are garbage")
+TEST_CASE("blobs that no retained record references are garbage")
 {
   Manifest old;
   old.files_ = { { "a.ini", "h1" } };
@@ -267,7 +271,8 @@
         std::vector<std::string>{ "h0" });
 }
 
-TEST_CASE("two watchers of a zone tell their zone and other zones' watchers")
+TEST_CASE(
+  "two watchers of a zone notify their zone and the watchers of other zones")
 {
   std::vector<FanoutMember> members;
   for (const char* zone : { "birr", "sal" }) {
@@ -282,12 +287,12 @@
         std::vector<std::string>{ "birr2", "birr3", "birr4", "sal1", "sal2" });
   CHECK_FALSE(ChooseFanout(members, members.at(2)).watches_);
   CHECK(ChooseFanout(members, members.at(2)).targets_.empty());
-  // Both watchers gone: the next ones take their place.
+  // Both watchers are gone: the next members replace them.
   members.erase(members.begin(), members.begin() + 2);
   CHECK(ChooseFanout(members, members.at(0)).watches_);
 }
 
-TEST_CASE("one key is set and all other lines stay as they are")
+TEST_CASE("one key is set and all other lines stay unchanged")
 {
   const std::string text = "; day\n[trainer t]\nmodel = m\n\n[service s]\n"
                            "kind = plain\n";
--- a/tests/test_job_ledger.cpp
+++ b/tests/test_job_ledger.cpp
@@ -1,4 +1,4 @@
-/// One job's ledger: texts, versions, scores, positions.
+/// Tests of the job ledger: texts, versions, scores and positions of results.
 
 #include "marjoramtally/version.hpp"
 
@@ -21,7 +21,7 @@
   return item;
 }
 
-/// Two groups of two items; versions from 5 on.
+/// Two groups of two items; versions 5 and later are allowed.
 JobSpec
 MakeSpec()
 {
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("an item's text is its events in order and names their versions")
+TEST_CASE("an item's text joins its events in order and lists their versions")
 {
   JobLedger ledger = MakeLedger();
   ledger.OnStarted(0);
@@ -86,7 +86,7 @@
   REQUIRE(result.score_ == "sig");
 }
 
-TEST_CASE("an event that is not the next one ends the run")
+TEST_CASE("an event out of sequence ends the run")
 {
   JobLedger ledger = MakeLedger();
   ledger.OnStarted(0);
@@ -96,14 +96,14 @@
   REQUIRE_FALSE(
     ledger.OnEvent(0, { std::nullopt, "x", {} }, WeightVersion{ 5 }));
   ledger.OnInterrupted(0);
-  // What was taken stands; the next run goes on after it.
+  // The text so far is kept, and the next run resumes after it.
   REQUIRE(ledger.Text(0).lastEvent_ == 1);
   REQUIRE(ledger.Waiting(kStart).front() == 0);
   ledger.OnStarted(0);
   REQUIRE(Take(ledger, 0, 2));
 }
 
-TEST_CASE("an event under too old a version discards the text")
+TEST_CASE("an event of a version below the minimum discards the text")
 {
   JobLedger ledger = MakeLedger();
   ledger.OnStarted(0);
@@ -113,7 +113,7 @@
   REQUIRE(ledger.Text(0).text_.empty());
 }
 
-TEST_CASE("where one version is wanted a second one discards the text")
+TEST_CASE("in single-version jobs a second version discards the text")
 {
   JobPolicy policy;
   policy.singleVersion_ = true;
@@ -124,7 +124,7 @@
   REQUIRE(ledger.Text(0).lastEvent_ == 0);
 }
 
-TEST_CASE("an item is given up after its failed runs, not after broken ones")
+TEST_CASE("an item is abandoned after failed runs, not after interrupted ones")
 {
   JobLedger ledger = MakeLedger();
   for (int i = 0; i < 20; ++i) {
@@ -160,7 +160,7 @@
   REQUIRE_FALSE(ledger.ResultOf(0).completed_);
 }
 
-TEST_CASE("results wait for their group, but not for long")
+TEST_CASE("results wait for their group up to a limit")
 {
   JobLedger ledger = MakeLedger();
   Complete(ledger, 0, kStart);
@@ -171,7 +171,7 @@
   REQUIRE(ledger.Listable(kStart + 3s) == std::vector<ItemIndex>{ 0, 1, 2 });
 }
 
-TEST_CASE("results wait for as many groups as the trainer waits for")
+TEST_CASE("results wait for the target number of groups")
 {
   JobSpec spec = MakeSpec();
   spec.items_.push_back(MakeItem("e", "i"));
@@ -193,9 +193,10 @@
   REQUIRE(ledger.Listable(kStart + 1s) == std::vector<ItemIndex>{ 2, 3 });
 }
 
-// A trainer reads about twice a second and holds a read open for a second. With
-// each result of the last second written on its own, its reads ended all the
-// time, and it paused when its last group was there: 0.3 s in the mean.
+// A trainer reads about twice a second and holds each read open for one second.
+// If each result of the last second is written at once, every write ends a
+// read, and the trainer is pausing when its last group becomes available: 0.3 s
+// on average.
 TEST_CASE("close to the deadline results wait for the trainer's last group")
 {
   JobPolicy policy;
@@ -209,13 +210,13 @@
   REQUIRE(ledger.Listable(finalFlush - 1ms).empty());
   REQUIRE(ledger.NextDue() == finalFlush);
   REQUIRE_FALSE(ledger.AwaitsLastGroups(finalFlush - 1ms));
-  // All that is finished is read once more before the end.
+  // All finished results are listed once more before the deadline.
   REQUIRE(ledger.Listable(finalFlush) == std::vector<ItemIndex>{ 0 });
   ledger.OnListed({ 0 });
   REQUIRE(ledger.AwaitsLastGroups(finalFlush));
   Complete(ledger, 1, finalFlush + 100ms);
   REQUIRE(ledger.Listable(finalFlush + 1s).empty());
-  SECTION("and all together when there are enough groups")
+  SECTION("and are listed together when there are enough groups")
   {
     Complete(ledger, 2, finalFlush + 500ms);
     Complete(ledger, 3, finalFlush + 600ms);
@@ -223,7 +224,7 @@
     REQUIRE(ledger.Listable(finalFlush + 600ms) ==
             std::vector<ItemIndex>{ 1, 2, 3 });
   }
-  SECTION("and for nothing once it is late")
+  SECTION("and are listed at once after the grace period")
   {
     REQUIRE(ledger.NextDue() == graceEnd);
     REQUIRE(ledger.Listable(graceEnd) == std::vector<ItemIndex>{ 1 });
@@ -244,7 +245,7 @@
   REQUIRE(ledger.ResultOf(2).completed_);
 }
 
-TEST_CASE("nothing is given up before its time")
+TEST_CASE("items are abandoned only after the maximum queue time")
 {
   JobPolicy policy;
   policy.maxQueue_ = 40s;
@@ -256,7 +257,8 @@
   REQUIRE(ledger.Listable(kStart + 40s).size() == 4);
 }
 
-TEST_CASE("a next owner restores what is listed and goes on from texts")
+TEST_CASE(
+  "the next owner restores listed results and resumes from partial texts")
 {
   JobLedger first = MakeLedger();
   Complete(first, 3, kStart);
@@ -276,7 +278,7 @@
   REQUIRE(Take(second, 0, 3));
 }
 
-TEST_CASE("a text of an earlier job is used only if its versions fit")
+TEST_CASE("a text of an earlier job is used only if its versions are allowed")
 {
   JobLedger ledger = MakeLedger();
   ledger.Reuse(0, { "old", 4, { WeightVersion{ 4 } }, false });
@@ -285,7 +287,7 @@
   REQUIRE(ledger.State(0) == ItemState::Scoring);
 }
 
-TEST_CASE("records of jobs come back as they were written")
+TEST_CASE("job records are read back as they were written")
 {
   const JobOwnerRecord owner{ "front-1~7", 36, 1'234 };
   const auto owned = ReadOwnerRecord(WriteOwnerRecord(owner));
@@ -318,7 +320,7 @@
   REQUIRE(partials.value().front().text_.lastEvent_ == 3);
 }
 
-TEST_CASE("an unreadable record is an error that says what it is")
+TEST_CASE("an unreadable record is an error that names the record")
 {
   REQUIRE(ReadOwnerRecord("{").error().kind_ == ErrorKind::BadInput);
   REQUIRE(ReadOwnerRecord("{}").error().message_.find("owner") !=
@@ -328,7 +330,7 @@
   REQUIRE_FALSE(ReadPartialRecords("[1]"));
 }
 
-TEST_CASE("the items that should take longest start first")
+TEST_CASE("the items with the longest expected output start first")
 {
   JobSpec spec = MakeSpec();
   spec.items_[2].lengthHint_ = 900;
@@ -337,7 +339,8 @@
   REQUIRE(ledger.Waiting(kStart) == std::vector<ItemIndex>{ 2, 3, 0, 1 });
 }
 
-TEST_CASE("short of places, the groups that need least go first")
+TEST_CASE(
+  "if slots are short, groups with the least remaining work start first")
 {
   JobSpec spec = MakeSpec();
   const std::vector<std::uint32_t> lengths{ 900, 100, 300, 400 };
@@ -350,7 +353,7 @@
           std::vector<ItemIndex>{ 0, 3, 2, 1 });
   REQUIRE(ledger.Waiting(kStart + policy.slotShortageDelay_ + 1ms) ==
           std::vector<ItemIndex>{ 3, 2, 0, 1 });
-  // What is whole already makes a group need less.
+  // Complete items do not count towards the remaining work of their group.
   ledger.OnStarted(0);
   REQUIRE(Take(ledger, 0, 1));
   ledger.OnCompleted(0, kStart + 3s);
--- a/tests/test_sample_journal.cpp
+++ b/tests/test_sample_journal.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A folder of this test's own that goes away with it.
+/// A temporary directory that is removed on destruction.
 class Folder
 {
 public:
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("candidates survive a restart and corrupt ones are left out")
+TEST_CASE("candidates survive a restart and corrupt ones are skipped")
 {
   const Folder folder;
   const StepSpec spec = MakeStep();
@@ -85,8 +85,8 @@
       CHECK(journal.value()->Append(kTrainer, spec, MakeSample(member)));
     }
   }
-  const std::string whole = MakeSample(1).text_;
-  Overwrite(folder.File(), whole, std::string(whole.size(), 'x'));
+  const std::string text = MakeSample(1).text_;
+  Overwrite(folder.File(), text, std::string(text.size(), 'x'));
   const auto journal = SampleJournal::Open(folder.File(), kLarge);
   REQUIRE(journal);
   const auto read = journal.value()->Read(kTrainer, spec);
@@ -99,7 +99,7 @@
   CHECK(first.spans_ == MakeSample(0).spans_);
   CHECK(first.reward_ == MakeSample(0).reward_);
   CHECK(journal.value()->Read(kTrainer, spec).value().corrupt_ == 0);
-  // The same step with other prompts is another step.
+  // A step with the same number but other prompts has no candidates.
   StepSpec other = spec;
   other.prompts_ = { "a", "c" };
   CHECK(journal.value()->Read(kTrainer, other).value().samples_.empty());
@@ -108,7 +108,8 @@
   CHECK(journal.value()->Bytes() == 0);
 }
 
-TEST_CASE("the journal stays within its bound and keeps the newest")
+TEST_CASE(
+  "the journal stays within its size limit and keeps the newest candidates")
 {
   const Folder folder;
   constexpr std::uint64_t kBound = 1000;
--- a/tests/test_take_faults.cpp
+++ b/tests/test_take_faults.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-/// Ticks of the small simulation below; each does at most one action a party.
+/// Durations are in ticks of the simulation below; in each tick every party
+/// performs at most one action.
 constexpr std::uint64_t kLeaseTicks = 6;
 constexpr std::uint64_t kTakeTimeoutTicks = 3;
-/// Told that the step is not open, take again, generate, deliver.
+/// Reopening a step: receive the answer that it is not open, take again,
+/// generate, deliver.
 constexpr std::uint64_t kReopenTicks = 4;
 constexpr std::uint64_t kFaultTicks = 9;
 constexpr std::uint64_t kMaxTicks = 400;
@@ -46,7 +48,7 @@
   bool notOpen_ = false;
 };
 
-/// One owner: the real ledger and what the network brought it.
+/// An owner: a real ledger and the requests that the network delivered to it.
 struct Owner
 {
   TrainerLedger ledger_;
@@ -65,11 +67,14 @@
   return spec;
 }
 
-/// Two owners, a trainer that keeps its rule, and a network between them.
+/// Simulates two owners, a trainer that follows the take protocol, and the
+/// network between them. Guards against takes that lose or duplicate samples
+/// when owners, the store or the network fail.
 class Simulation
 {
 public:
-  /// A fault is brought about right before the action of that index.
+  /// @param aFaults each fault with the index of the action before which it is
+  /// injected
   Simulation(std::vector<std::pair<std::uint64_t, Fault>> aFaults)
     : faults_(std::move(aFaults))
   {
@@ -145,7 +150,7 @@
     }
   }
 
-  /// A new owner needs the store; then the lease of the old one has lapsed.
+  /// Changes the owner once the lease has expired and the store is available.
   void TakeOver()
   {
     if (expiresAt_ != 0 && tick_ >= expiresAt_ && tick_ >= storeDownUntil_) {
@@ -204,7 +209,7 @@
     if (verdict == TakeVerdict::Current) {
       answer.samples_ = owner.ledger_.Collect(request.take_, {}).samples_;
       if (answer.samples_.empty()) {
-        return; // the long poll goes on
+        return; // the long poll stays open
       }
     }
     owner.requests_.pop_front();
@@ -218,7 +223,7 @@
     if (answers_.empty() || tick_ < delayedUntil_) {
       return;
     }
-    // The latest first: answers overtake each other.
+    // Delivers the latest answer first, to simulate reordering.
     const Answer answer = answers_.back();
     answers_.pop_back();
     if (answer.notOpen_) {
@@ -256,7 +261,7 @@
   std::uint64_t cutUntil_ = 0;
 };
 
-/// @returns how often samples were lost or doubled
+/// @returns the number of samples that were lost or duplicated
 std::size_t
 CountWrong(const Simulation& aSimulation)
 {
@@ -279,7 +284,8 @@
 
 } // namespace
 
-TEST_CASE("an owner killed at every action of a take loses and doubles nothing")
+TEST_CASE(
+  "killing the owner at any action of a take loses or duplicates no sample")
 {
   const std::uint64_t actions = ActionsWithoutFault();
   REQUIRE(actions > 20);
@@ -288,13 +294,13 @@
     simulation.Run();
     INFO("killed before action " << at);
     CHECK(CountWrong(simulation) == 0);
-    // A lease, one take that nobody answers, and opening the step again.
+    // A lease, one unanswered take, and the reopening of the step.
     CHECK(simulation.longestGap_ <=
           kLeaseTicks + kTakeTimeoutTicks + kReopenTicks);
   }
 }
 
-TEST_CASE("any two faults at any two actions lose and double nothing")
+TEST_CASE("any two faults at any two actions lose or duplicate no sample")
 {
   const std::uint64_t actions = ActionsWithoutFault();
   std::size_t runs = 0;
--- a/tests/test_trainer_ledger.cpp
+++ b/tests/test_trainer_ledger.cpp
@@ -41,7 +41,8 @@
   return take;
 }
 
-/// A ledger with the bound of one version whose trainer announced `aVersion`.
+/// A ledger with a staleness bound of one version, whose trainer announced
+/// `aVersion`.
 TrainerLedger
 MakeLedger(std::uint64_t aVersion, const char* aPolicy = "idle")
 {
@@ -53,7 +54,8 @@
   return ledger;
 }
 
-/// Starts and keeps all samples that may start.
+/// Generates all samples that may start.
+/// @returns the number of samples kept
 std::uint32_t
 GenerateAll(TrainerLedger& aLedger, std::uint64_t aVersion)
 {
@@ -75,25 +77,25 @@
 
 } // namespace
 
-TEST_CASE("the trainer's set decides what a take returns")
+TEST_CASE("the set of samples held by the trainer decides what a take returns")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
   CHECK(GenerateAll(ledger, 1) == 4);
   CHECK(TakeNow(ledger, MakeTake(1, 1, "")).samples_.size() == 4);
-  // The answer was lost: the same take again gets the same samples.
+  // The answer was lost: the repeated take gets the same samples.
   CHECK(TakeNow(ledger, MakeTake(1, 1, "")).samples_.size() == 4);
   const TakeResult rest = TakeNow(ledger, MakeTake(1, 1, "0-2"));
   REQUIRE(rest.samples_.size() == 1);
   CHECK(rest.samples_.front().id_ == SampleId{ StepId{ 1 }, 1, 1 });
   CHECK(rest.remaining_ == 0);
-  // The trainer lost what it held: it is generated anew.
+  // The trainer lost samples that it held: they are generated again.
   CHECK(TakeNow(ledger, MakeTake(1, 1, "0")).samples_.size() == 1);
   CHECK(GenerateAll(ledger, 1) == 2);
   CHECK(TakeNow(ledger, MakeTake(1, 1, "0")).samples_.size() == 3);
 }
 
-TEST_CASE("only the present take is answered")
+TEST_CASE("only the latest take is answered")
 {
   TrainerLedger ledger = MakeLedger(1);
   TakeSpec take = MakeTake(1, 1, "");
@@ -104,14 +106,15 @@
   CHECK(ledger.Accept(take, kStart) == TakeVerdict::Current);
   take.number_ = 6;
   CHECK(ledger.Accept(take, kStart) == TakeVerdict::Superseded);
-  // A trainer that starts over opens its step again and counts anew.
+  // A restarted trainer opens its step again and restarts its numbers.
   CHECK(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Same);
   take.number_ = 1;
   CHECK(ledger.Accept(take, kStart) == TakeVerdict::Current);
   CHECK(ledger.Open(MakeStep(1, 2)) == OpenVerdict::Different);
 }
 
-TEST_CASE("whole groups are given only whole")
+TEST_CASE(
+  "with complete groups requested, groups are returned only when complete")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
@@ -123,7 +126,7 @@
     REQUIRE(start.has_value());
     ledger.OnGenerated(MakeSample(start->sample_, 1), kStart);
   }
-  // The group is over the most wanted, yet a group is given whole.
+  // The group exceeds the maximum number of samples but is still returned.
   CHECK(TakeNow(ledger, take).samples_.size() == 2);
   take.held_ = *IndexSet::Parse("0-1");
   CHECK(TakeNow(ledger, take).samples_.empty());
@@ -131,7 +134,7 @@
   CHECK(TakeNow(ledger, take).samples_.size() == 2);
 }
 
-TEST_CASE("a candidate over the staleness bound is generated anew")
+TEST_CASE("a candidate beyond the staleness bound is generated again")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
@@ -146,14 +149,14 @@
         CandidateVerdict::Stale);
 }
 
-TEST_CASE("uncertain labels are not kept and the sample is generated anew")
+TEST_CASE("a candidate with uncertain labels is dropped and generated again")
 {
   TrainerLedger ledger = MakeLedger(3);
   REQUIRE(ledger.Open(MakeStep(1, 3)) == OpenVerdict::Opened);
   const auto start = ledger.StartNext(kStart);
   REQUIRE(start.has_value());
   Sample swapped = MakeSample(start->sample_, 3);
-  // Version 2 was never announced here, 4 is above the announced one.
+  // Version 2 was never announced, and 4 is newer than the announced version.
   for (const std::uint64_t version : { 2, 4 }) {
     swapped.spans_ = { { WeightVersion{ 3 }, 0, 4 },
                        { WeightVersion{ version }, 4, kTokens } };
@@ -162,7 +165,8 @@
   }
   swapped.spans_ = { { WeightVersion{ 3 }, 0, kTokens - 1 } };
   CHECK(ledger.OnGenerated(swapped, kStart) == CandidateVerdict::Uncertain);
-  // Once announced, a swap in the middle gives two versions, both named.
+  // After the announcement, a change of weights within the sample gives two
+  // labelled spans.
   ledger.Versions().Announce(WeightVersion{ 4 }, kStart);
   swapped.spans_ = { { WeightVersion{ 3 }, 0, 4 },
                      { WeightVersion{ 4 }, 4, kTokens } };
@@ -172,7 +176,7 @@
   CHECK(taken.samples_.front().spans_ == swapped.spans_);
 }
 
-TEST_CASE("a version ages from the moment at which it was superseded")
+TEST_CASE("the age of a version counts from when it was superseded")
 {
   TrainerLedger ledger;
   LedgerRules rules;
@@ -195,7 +199,8 @@
   CHECK(TakeNow(ledger, MakeTake(1, 4, ""), kStart + 15s).samples_.empty());
 }
 
-TEST_CASE("doomed work is not started and earlier steps go first")
+TEST_CASE(
+  "samples that would be too stale are not started; earlier steps go first")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(2, 2)) == OpenVerdict::Opened);
@@ -204,7 +209,7 @@
   for (const std::uint64_t step : { 1, 1, 1, 1, 2, 2, 2, 2 }) {
     CHECK(ledger.StartNext(kStart)->sample_.step_ == StepId{ step });
   }
-  // Step 3 is taken at version 3, where version 1 is over the bound.
+  // Step 3 is taken at version 3, where version 1 exceeds the bound.
   CHECK_FALSE(ledger.StartNext(kStart).has_value());
   ledger.Versions().Announce(WeightVersion{ 2 }, kStart);
   const auto start = ledger.StartNext(kStart);
@@ -212,10 +217,10 @@
   CHECK(start->minVersion_ == WeightVersion{ 2 });
 }
 
-TEST_CASE("policies differ in how far they lead")
+TEST_CASE("lead policies differ in how far generation runs ahead")
 {
-  // With a bound of two versions: samples started of the steps that are
-  // taken one and two versions later.
+  // With a bound of two versions: the number of samples started for steps that
+  // are taken one and two versions later.
   const auto early = [](const char* aPolicy) {
     TrainerLedger ledger = MakeLedger(1);
     LedgerRules rules;
@@ -234,7 +239,7 @@
   CHECK(ledger.StartNext(kStart)->minVersion_ == WeightVersion{ 2 });
 }
 
-TEST_CASE("a scorer that is down does not hold up generation")
+TEST_CASE("an unavailable scorer does not block generation")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(1, 1)) == OpenVerdict::Opened);
--- a/tests/test_version.cpp
+++ b/tests/test_version.cpp
@@ -18,7 +18,7 @@
   CHECK(rule.kind_ == "plain");
 }
 
-TEST_CASE("all findings of rules are reported with their places")
+TEST_CASE("all findings of rules are reported with their locations")
 {
   const auto merged = MergeRulesFiles({
     { "10.ini", "[service a]\nkind = other\nspeed = 1\n" },
@@ -34,7 +34,8 @@
   CHECK(text.find("20.ini:4: ") != std::string::npos);
 }
 
-TEST_CASE("a key's places are told in the order in which they override")
+TEST_CASE(
+  "the assignments of a key are listed in the order in which they override")
 {
   const auto origins = ExplainKey(
     {
