--- a/src/version/config_log.cpp
+++ b/src/version/config_log.cpp
@@ -44,7 +44,8 @@
   const bool moved = aModification != modification_;
   base_ = std::move(aManifest);
   if (unsettled_ && moved) {
-    // The attempt can no longer take effect; its record tells if it did.
+    // The commit compared an older modification and can no longer take effect;
+    // the record of its revision shows whether it did.
     modification_ = aModification;
     step_ = EditStep::ReadRecord;
     return;
@@ -57,8 +58,9 @@
 EditSession::Rebase()
 {
   proposal_ = base_;
-  proposal_.revision_ =
-    ConfigRevision{ std::max(base_.revision_.Get(), edit_.above_.Get()) + 1 };
+  proposal_.revision_ = ConfigRevision{
+    std::max(base_.revision_.Get(), edit_.aboveRevision_.Get()) + 1
+  };
   proposal_.edit_ = edit_.id_;
   proposal_.author_ = edit_.author_;
   proposal_.unixTime_ = edit_.unixTime_;
@@ -74,7 +76,7 @@
   if (!conflicts_.empty()) {
     step_ = EditStep::Conflicted;
   } else if (proposal_.files_ == base_.files_ &&
-             edit_.above_ <= base_.revision_) {
+             edit_.aboveRevision_ <= base_.revision_) {
     step_ = EditStep::Unchanged;
   } else if (!MissingBlobs().empty()) {
     step_ = EditStep::ReadBlobs;
@@ -102,7 +104,8 @@
   if (MissingBlobs().empty()) {
     Check();
   } else {
-    // Garbage was collected since the manifest was read: read it again.
+    // Blobs were collected as garbage after the manifest was read: read the
+    // manifest again.
     step_ = EditStep::ReadManifest;
   }
 }
@@ -126,16 +129,16 @@
 }
 
 void
-EditSession::OnCommit(CommitAnswer aAnswer)
+EditSession::OnCommit(CommitOutcome aAnswer)
 {
-  if (aAnswer == CommitAnswer::Applied) {
+  if (aAnswer == CommitOutcome::Applied) {
     step_ = EditStep::Accepted;
     return;
   }
-  if (aAnswer == CommitAnswer::Unknown) {
+  if (aAnswer == CommitOutcome::Unknown) {
     unsettled_ = true;
   }
-  // Also "not applied" may follow an earlier attempt that did apply.
+  // Also read it after NotApplied: an earlier attempt may have been applied.
   step_ = EditStep::ReadManifest;
 }
 
--- a/src/version/job_record.cpp
+++ b/src/version/job_record.cpp
@@ -14,7 +14,7 @@
   return aValue.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// Runs a reader; what it does not find is an error that names the record.
+/// Calls `aReader` and converts JSON exceptions to errors that name the record.
 template<typename Reader>
 auto
 Read(const char* aWhat, Reader aReader) -> Result<decltype(aReader())>
@@ -81,7 +81,7 @@
                      { "text", entry.text_.text_ },
                      { "last", entry.text_.lastEvent_ },
                      { "versions", WriteVersions(entry.text_.versions_) },
-                     { "whole", entry.text_.whole_ } });
+                     { "whole", entry.text_.complete_ } });
   }
   return Dump(list);
 }
@@ -96,7 +96,7 @@
       text.text_ = value.at("text").get<std::string>();
       text.lastEvent_ = value.at("last").get<std::uint64_t>();
       text.versions_ = ReadVersions(value.at("versions"));
-      text.whole_ = value.at("whole").get<bool>();
+      text.complete_ = value.at("whole").get<bool>();
       texts.push_back(
         { ItemId{ value.at("id").get<std::string>() }, std::move(text) });
     }
@@ -131,7 +131,7 @@
 std::string
 WriteSubmissionRecord(const JobSubmissionRecord& aRecord)
 {
-  // The body follows the first line as it was received.
+  // The body follows the first line exactly as received.
   Json head{ { "host", aRecord.host_ },
              { "path", aRecord.path_ },
              { "config", aRecord.acceptedUnder_.Get() } };
--- a/src/version/lead.cpp
+++ b/src/version/lead_policy.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/version/lead.hpp"
+#include "marjoramtally/version/lead_policy.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Versions that generation leads the trainer where freshness goes first.
-constexpr std::uint64_t kFreshLead = 1;
+/// Versions by which `freshness` may run ahead of the newest announced one.
+constexpr std::uint64_t kMaxFreshnessLead = 1;
 
-/// Starts whatever can still be fresh enough when it is taken.
+/// Starts every sample that can still be within the staleness bound when it is
+/// taken.
 class IdlePolicy final : public LeadPolicy
 {
 public:
@@ -19,18 +20,19 @@
     return "idle";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_ <= aOutlook.announced_;
+    return aVersions.minDeliverable_ <= aVersions.newest_;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_;
+    return aVersions.minDeliverable_;
   }
 };
 
-/// Leads by one version, however wide the bound, and samples only the newest.
+/// Runs ahead by at most one version, whatever the bound, and generates on the
+/// newest version only.
 class FreshnessPolicy final : public LeadPolicy
 {
 public:
@@ -39,20 +41,21 @@
     return "freshness";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.needed_ <= aOutlook.announced_ &&
-           aOutlook.taken_.Get() <= aOutlook.announced_.Get() + kFreshLead;
+    return aVersions.minDeliverable_ <= aVersions.newest_ &&
+           aVersions.takeVersion_.Get() <=
+             aVersions.newest_.Get() + kMaxFreshnessLead;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return std::max(aOutlook.needed_,
-                    std::min(aOutlook.announced_, aOutlook.taken_));
+    return std::max(aVersions.minDeliverable_,
+                    std::min(aVersions.newest_, aVersions.takeVersion_));
   }
 };
 
-/// Generates each step at the very version at which it is taken.
+/// Generates each step only on the version at which it is taken.
 class StrictPolicy final : public LeadPolicy
 {
 public:
@@ -61,18 +64,18 @@
     return "strict";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& aOutlook) const noexcept override
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.taken_ <= aOutlook.announced_;
+    return aVersions.takeVersion_ <= aVersions.newest_;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& aOutlook) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& aVersions) const noexcept override
   {
-    return aOutlook.taken_;
+    return aVersions.takeVersion_;
   }
 };
 
-/// Starts all that is open, whatever its age will be.
+/// Starts every sample of open steps, regardless of staleness.
 class UnlimitedPolicy final : public LeadPolicy
 {
 public:
@@ -81,12 +84,12 @@
     return "unlimited";
   }
   [[nodiscard]] bool MayStart(
-    const StepOutlook& /*aOutlook*/) const noexcept override
+    const StepVersions& /*aVersions*/) const noexcept override
   {
     return true;
   }
-  [[nodiscard]] WeightVersion LeastVersion(
-    const StepOutlook& /*aOutlook*/) const noexcept override
+  [[nodiscard]] WeightVersion MinVersion(
+    const StepVersions& /*aVersions*/) const noexcept override
   {
     return WeightVersion{ 0 };
   }
