--- a/include/marjoramtally/process/load_limit.hpp
+++ b/include/marjoramtally/process/load_limit.hpp
@@ -20,8 +20,8 @@
 {
 public:
   /// @param aLeast the limit never goes below
-  explicit LoadLimit(std::uint32_t aLeast)
-    : least_(aLeast)
+  explicit LoadLimit(std::uint32_t aMinLimit)
+    : minLimit_(aMinLimit)
   {
   }
 
@@ -32,7 +32,7 @@
   /// @param aCount loads in progress with them
   void OnInProgress(std::uint32_t aCount, TimePoint aNow);
   /// @param aFirst the limit that is guessed as long as nothing was learned
-  [[nodiscard]] std::uint32_t AtOnce(std::uint32_t aFirst);
+  [[nodiscard]] std::uint32_t LimitFor(std::uint32_t aInitialGuess);
   /// @returns the present limit; 0 before it was asked for
   [[nodiscard]] std::uint32_t Get() const noexcept
   {
@@ -42,24 +42,24 @@
 private:
   /// Judges the loads that began since the limit changed, once there are
   /// enough of them.
-  void Judge(TimePoint aNow);
-  void Change(double aLimit, TimePoint aNow);
+  void Evaluate(TimePoint aNow);
+  void SetLimit(double aLimit, TimePoint aNow);
 
-  std::uint32_t least_;
+  std::uint32_t minLimit_;
   double limit_ = 0;
   /// Below it the limit grows fast.
-  double guess_ = 0;
+  double fastGrowthCeiling_ = 0;
   /// What the fastest load took.
   Duration fastest_{ 0 };
   /// When the limit was last changed or confirmed.
-  TimePoint changed_;
+  TimePoint changedAt_;
   /// Since when as many are in progress as may be; `kNever` if they are not.
-  TimePoint full_ = kNever;
+  TimePoint saturatedSince_ = kNever;
   /// What loads that began since the change took.
-  std::vector<Duration> took_;
+  std::vector<Duration> durations_;
   /// Loads that began since the limit was used up. Those before them had the
   /// store of weights to themselves for a while and say little of it.
-  std::size_t tookFull_ = 0;
+  std::size_t saturatedLoads_ = 0;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/order_fencing.hpp
+++ b/include/marjoramtally/process/order_fencing.hpp
@@ -22,7 +22,7 @@
   /// over one lease.
   Duration margin_ = std::chrono::milliseconds(500);
   /// Longest time in which an order that was received takes effect.
-  Duration effect_ = std::chrono::milliseconds(500);
+  Duration maxEffectDelay_ = std::chrono::milliseconds(500);
   bool operator==(const FencingPolicy&) const = default;
 };
 
@@ -32,7 +32,7 @@
   /// Not the owner, or no longer for certain.
   None,
   /// The last owner's orders may still take effect.
-  WaitForLast,
+  WaitForPreviousOwner,
   /// An order has to show the upstream our number, though nothing changes.
   Announce,
   /// The upstream's state has to be read first.
@@ -46,7 +46,7 @@
 public:
   OrderFence() = default;
   /// @param aChecks whether the upstream refuses old fencing numbers
-  OrderFence(bool aChecks, FencingPolicy aPolicy) noexcept;
+  OrderFence(bool aChecksFencing, FencingPolicy aPolicy) noexcept;
 
   /// We own the upstream under this term; a repeated term changes nothing.
   void OnOwned(FencingNumber aTerm, TimePoint aNow) noexcept;
@@ -73,23 +73,23 @@
   /// @returns whether our lease holds at this instant by our own clock
   [[nodiscard]] bool LeaseHolds(TimePoint aNow) const noexcept
   {
-    return aNow + policy_.effect_ + policy_.margin_ <= leaseUntil_;
+    return aNow + policy_.maxEffectDelay_ + policy_.margin_ <= leaseUntil_;
   }
   [[nodiscard]] std::optional<FencingNumber> Term() const noexcept
   {
     return term_;
   }
-  [[nodiscard]] bool Checks() const noexcept { return checks_; }
+  [[nodiscard]] bool ChecksFencing() const noexcept { return checksFencing_; }
   [[nodiscard]] const FencingPolicy& Policy() const noexcept { return policy_; }
 
 private:
-  bool checks_ = true;
+  bool checksFencing_ = true;
   FencingPolicy policy_;
   std::optional<FencingNumber> term_;
   TimePoint leaseUntil_;
   /// From then on no order of the last owner, and none of ours whose answer
   /// was lost, can take effect.
-  TimePoint quietFrom_;
+  TimePoint safeFrom_;
   bool stateKnown_ = false;
   bool confirmed_ = false;
 };
--- a/include/marjoramtally/process/rollout.hpp
+++ b/include/marjoramtally/process/rollout.hpp
@@ -14,7 +14,7 @@
 namespace marjoramtally {
 
 /// How often a pause between two tries doubles.
-inline constexpr std::uint64_t kMostDoublings = 4;
+inline constexpr std::uint64_t kMaxBackoffDoublings = 4;
 
 /// Limits of one owner.
 struct RolloutPolicy
@@ -24,11 +24,11 @@
   double loadsPerSecond_ = 50.0;
   std::uint64_t parallelLoads_ = 64;
   /// Failed orders in a row until an upstream is left as it is.
-  std::uint64_t tries_ = 4;
+  std::uint64_t maxAttempts_ = 4;
   /// Before the first retry; doubles with each.
-  Duration retryPause_ = std::chrono::milliseconds(250);
+  Duration retryDelay_ = std::chrono::milliseconds(250);
   /// Before an upstream that was left as it is is tried again.
-  Duration longPause_ = std::chrono::seconds(30);
+  Duration longRetryDelay_ = std::chrono::seconds(30);
   /// Between two reads of a settled upstream's state.
   Duration readPeriod_ = std::chrono::seconds(1);
 };
@@ -74,9 +74,11 @@
   void SetGoal(const ServiceId& aService, ServiceGoal aGoal);
   void SetRole(const UpstreamId& aUpstream, const std::string& aRole);
   /// We own it under this term; repeats change nothing.
-  void Own(const OwnedUpstream& aUpstream, FencingNumber aTerm, TimePoint aNow);
+  void OnOwned(const OwnedUpstream& aUpstream,
+               FencingNumber aTerm,
+               TimePoint aNow);
   /// We own it no longer.
-  void Lose(const UpstreamId& aUpstream);
+  void OnLost(const UpstreamId& aUpstream);
   /// Our lease holds until then by our clock.
   void OnLease(TimePoint aUntil) noexcept;
   /// A read of state ended. `aAskedAt` is when it was sent.
@@ -96,15 +98,15 @@
 private:
   struct Upstream
   {
-    OwnedUpstream rule_;
+    OwnedUpstream owned_;
     OrderFence fence_;
     UpstreamState state_;
     std::string role_;
     std::optional<SendOrder> order_;
-    bool reading_ = false;
+    bool readInProgress_ = false;
     /// Its state was read and reads have not failed since.
     bool readable_ = false;
-    bool out_ = false;
+    bool outOfRotation_ = false;
     bool settled_ = false;
     std::uint64_t failures_ = 0;
     std::uint64_t failedReads_ = 0;
@@ -116,7 +118,7 @@
   /// Upstreams of one service that are not, or soon not, answering.
   using SlotUse = std::map<ServiceId, std::uint64_t>;
 
-  [[nodiscard]] static bool Answers(const Upstream& aUpstream) noexcept;
+  [[nodiscard]] static bool IsAnswering(const Upstream& aUpstream) noexcept;
   [[nodiscard]] SlotUse CountSlots() const;
   void DecideOne(Upstream& aUpstream,
                  SlotUse& aUse,
@@ -135,7 +137,7 @@
   void OnStoreBusy(Upstream& aUpstream, TimePoint aNow);
   void OnDone(Upstream& aUpstream, const SendOrder& aOrder);
   void OnFailed(Upstream& aUpstream, TimePoint aNow);
-  void GiveUp(Upstream& aUpstream, TimePoint aNow);
+  void Abandon(Upstream& aUpstream, TimePoint aNow);
   /// @returns the duration stretched or shrunk by up to a quarter
   [[nodiscard]] Duration Jitter(Duration aDuration) noexcept;
   void Notify(const Upstream& aUpstream, RolloutNoticeKind aKind);
--- a/include/marjoramtally/process/rollout_shares.hpp
+++ b/include/marjoramtally/process/rollout_shares.hpp
@@ -76,8 +76,8 @@
 /// @param aWave most upstreams at once; 0 for no other limit than the floor
 [[nodiscard]] std::uint64_t
 SwitchSlots(std::uint64_t aTotal,
-            std::uint64_t aFloor,
-            std::uint64_t aWave) noexcept;
+            std::uint64_t aFloorPercent,
+            std::uint64_t aMaxWave) noexcept;
 
 /// One owner's part of the slots; the parts add up to the slots.
 /// @param aIndex place of this owner among the service's owners, sorted
@@ -109,8 +109,8 @@
   Duration hold_;
   std::uint64_t used_ = 0;
   /// Least share seen since `since_`.
-  std::uint64_t offered_ = 0;
-  TimePoint since_;
+  std::uint64_t pending_ = 0;
+  TimePoint pendingSince_;
 };
 
 /// @returns the instances that should own a service's upstreams, by
@@ -118,7 +118,7 @@
 [[nodiscard]] std::vector<InstanceId>
 ChooseOwners(const ServiceId& aService,
              std::vector<InstanceId> aCandidates,
-             std::uint64_t aMost);
+             std::uint64_t aMaxOwners);
 
 /// @returns which of the owners should own the upstream
 [[nodiscard]] InstanceId
--- a/include/marjoramtally/process/supply_plan.hpp
+++ b/include/marjoramtally/process/supply_plan.hpp
@@ -22,19 +22,19 @@
   double headroom_ = 1.25;
   /// Upstreams held for each that was there at first, as long as no demand was
   /// seen.
-  double beforeDemand_ = 2.0;
+  double initialFactor_ = 2.0;
   /// Upstreams register one after the other; how many were there at first is
   /// known when none has come for this long. An order before that would take
   /// away those that had not registered.
-  Duration settle_ = std::chrono::seconds(3);
+  Duration settleTime_ = std::chrono::seconds(3);
   /// The largest demand of this time counts.
-  Duration memory_ = std::chrono::seconds(30);
+  Duration demandWindow_ = std::chrono::seconds(30);
   /// Less is ordered after this time of less demand; never: at zero.
-  Duration lowerAfter_ = std::chrono::seconds(60);
+  Duration scaleDownDelay_ = std::chrono::seconds(60);
   /// A zone that had none to give is asked again after this.
-  Duration unavailable_ = std::chrono::seconds(5);
+  Duration unavailableRetryDelay_ = std::chrono::seconds(5);
   /// Orders may be carried out so late, after newer ones.
-  Duration latestEffect_ = std::chrono::seconds(13);
+  Duration maxEffectDelay_ = std::chrono::seconds(13);
   /// Part of what is ordered beyond the first upstreams that may be
   /// reclaimable.
   double spotShare_ = 0.0;
@@ -64,20 +64,20 @@
 };
 
 /// Upstreams of one kind in one zone.
-struct SupplyPlace
+struct SupplyPool
 {
   ServiceId service_;
   ZoneId zone_;
   bool spot_ = false;
-  auto operator<=>(const SupplyPlace&) const = default;
+  auto operator<=>(const SupplyPool&) const = default;
 };
 
 /// A number to order, and why.
 struct PlannedSupply
 {
-  SupplyPlace place_;
+  SupplyPool pool_;
   std::uint32_t count_ = 0;
-  std::string_view why_;
+  std::string_view reason_;
 };
 
 /// The plan. Remembers demand and orders.
@@ -88,10 +88,10 @@
 
   /// Places that are wanted of a service now.
   void OnDemand(const ServiceId& aService,
-                std::uint64_t aPlaces,
+                std::uint64_t aSlots,
                 TimePoint aNow);
   /// An earlier holder of the duty ordered this number.
-  void OnRestored(const SupplyPlace& aPlace, std::uint32_t aCount);
+  void OnRestored(const SupplyPool& aPool, std::uint32_t aCount);
   /// @returns orders to send now
   [[nodiscard]] std::vector<PlannedSupply> Next(const SupplyView& aView,
                                                 TimePoint aNow);
@@ -116,10 +116,10 @@
   };
 
   /// The upstreams of a service that were there before any order.
-  struct First
+  struct InitialCount
   {
     std::uint32_t count_ = 0;
-    TimePoint grown_;
+    TimePoint lastIncrease_;
   };
 
   /// @returns whether it is known how many upstreams were there at first
@@ -132,23 +132,23 @@
                                                        std::uint32_t aWanted,
                                                        TimePoint aNow) const;
   /// @returns why an order is due; empty if none is
-  [[nodiscard]] std::string_view WhyOrder(Ordered& aOrdered,
-                                          std::uint32_t aTarget,
-                                          std::uint32_t aServing,
-                                          Duration aBootTime,
-                                          TimePoint aNow) const;
-  [[nodiscard]] bool MayLower(const SupplyView& aView,
-                              std::uint32_t aWanted,
-                              TimePoint aNow);
-  Ordered& Find(const SupplyPlace& aPlace, std::uint32_t aServing);
+  [[nodiscard]] std::string_view OrderReason(Ordered& aOrdered,
+                                             std::uint32_t aTarget,
+                                             std::uint32_t aServing,
+                                             Duration aBootTime,
+                                             TimePoint aNow) const;
+  [[nodiscard]] bool MayScaleDown(const SupplyView& aView,
+                                  std::uint32_t aWanted,
+                                  TimePoint aNow);
+  Ordered& Find(const SupplyPool& aPool, std::uint32_t aServing);
 
   SupplyPolicy policy_;
   std::map<ServiceId, PeakDemand> demand_;
-  std::map<SupplyPlace, Ordered> ordered_;
-  std::map<ServiceId, First> first_;
+  std::map<SupplyPool, Ordered> ordered_;
+  std::map<ServiceId, InitialCount> initial_;
   /// Services whose present orders are known: from an earlier holder, or as
   /// what was there at first.
-  std::set<ServiceId> known_;
+  std::set<ServiceId> settled_;
   /// Since when fewer upstreams of a service were wanted than were ordered.
   std::map<ServiceId, TimePoint> surplusSince_;
 };
--- a/include/marjoramtally/process/usage_book.hpp
+++ b/include/marjoramtally/process/usage_ledger.hpp
@@ -32,29 +32,29 @@
 {
   Duration window_ = std::chrono::seconds(5);
   /// A report is due so long after its window's end.
-  Duration late_ = std::chrono::seconds(10);
+  Duration reportDeadline_ = std::chrono::seconds(10);
   /// Requests that began in a window have ended so long after it, so that they
   /// are counted.
-  Duration collect_ = std::chrono::milliseconds(2500);
+  Duration collectionDelay_ = std::chrono::milliseconds(2500);
   /// Part of the time until a report is due after which a window is settled
   /// without those that did not tell.
-  double longestShare_ = 0.7;
+  double maxWaitShare_ = 0.7;
 };
 
 /// What is known of the windows.
-class UsageBook
+class UsageLedger
 {
 public:
   /// Windows kept in the store after they were sent.
-  static constexpr UsageWindow kKeptWindows = 12;
+  static constexpr UsageWindow kRetainedWindows = 12;
 
-  explicit UsageBook(UsagePolicy aPolicy);
+  explicit UsageLedger(UsagePolicy aPolicy);
 
   /// The duty begins: takes what earlier holders have settled. Without any, the
   /// bill begins with the present window.
   void Begin(std::map<UsageWindow, SettledWindow> aSettled, TrueTime aNow);
   /// Takes what a process told when asked at that time.
-  void OnUsage(const GatewayUsage& aUsage, TrueTime aAsked);
+  void OnUsage(const GatewayUsage& aUsage, TrueTime aRequestedAt);
   /// @param aLive the processes that should tell
   /// @returns the next window whose counts are final, if any
   [[nodiscard]] std::optional<UsageWindow> NextDue(
@@ -66,7 +66,7 @@
   [[nodiscard]] std::optional<UsageWindow> NextToSend() const;
   void OnSent(UsageWindow aWindow);
   /// @returns windows that need not be kept any more; forgets them
-  [[nodiscard]] std::vector<UsageWindow> TakeOld();
+  [[nodiscard]] std::vector<UsageWindow> TakeObsolete();
   [[nodiscard]] const std::map<UsageWindow, SettledWindow>& Settled()
     const noexcept
   {
@@ -82,9 +82,9 @@
   std::map<UsageWindow, SettledWindow> settled_;
   /// The most that each run of a process told, by window: one that ended keeps
   /// what it told last.
-  std::map<UsageWindow, std::map<std::string, CustomerCounts>> told_;
+  std::map<UsageWindow, std::map<std::string, CustomerCounts>> reported_;
   /// When the last answer of each process was asked for.
-  std::map<std::string, TrueTime> asked_;
+  std::map<std::string, TrueTime> requestedAt_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/usage_messages.hpp
+++ b/include/marjoramtally/process/usage_messages.hpp
@@ -7,7 +7,7 @@
 namespace marjoramtally {
 
 /// Asks a gateway for its counts.
-struct UsageAsk
+struct UsageRequest
 {
   TrueTime now_;
   Duration window_{ 0 };
@@ -17,12 +17,12 @@
 };
 
 [[nodiscard]] std::string
-EncodeUsageAsk(const UsageAsk& aAsk);
-[[nodiscard]] Result<UsageAsk>
-DecodeUsageAsk(std::string_view aBytes);
+EncodeUsageRequest(const UsageRequest& aRequest);
+[[nodiscard]] Result<UsageRequest>
+DecodeUsageRequest(std::string_view aBytes);
 [[nodiscard]] std::string
-EncodeUsageAnswer(const std::vector<GatewayUsage>& aGateways);
+EncodeUsageReply(const std::vector<GatewayUsage>& aGateways);
 [[nodiscard]] Result<std::vector<GatewayUsage>>
-DecodeUsageAnswer(std::string_view aBytes);
+DecodeUsageReply(std::string_view aBytes);
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/usage_meter.hpp
+++ b/include/marjoramtally/process/usage_meter.hpp
@@ -39,9 +39,9 @@
 {
 public:
   /// How long counts are kept for later holders of the duty.
-  static constexpr Duration kKept = std::chrono::seconds(60);
+  static constexpr Duration kRetention = std::chrono::seconds(60);
 
-  void OnBegun(const CustomerId& aCustomer, TimePoint aAt);
+  void OnRequestStarted(const CustomerId& aCustomer, TimePoint aAt);
   /// @param aTrueNow the true time at `aNow`
   [[nodiscard]] UsageCounts Counts(TimePoint aNow,
                                    TrueTime aTrueNow,
@@ -49,9 +49,9 @@
 
 private:
   /// Instants are kept to this.
-  static constexpr Duration kGrain = std::chrono::milliseconds(5);
+  static constexpr Duration kResolution = std::chrono::milliseconds(5);
 
-  std::map<TimePoint, CustomerCounts> begun_;
+  std::map<TimePoint, CustomerCounts> started_;
 };
 
 /// Use that one process told of.
@@ -60,7 +60,7 @@
   /// Names the run of the process.
   std::string incarnation_;
   /// How far its time of day is ahead of the true time that it was told.
-  Duration ahead_{ 0 };
+  Duration clockAhead_{ 0 };
   UsageCounts counts_;
   /// Places that its items and requests want, by service.
   std::map<ServiceId, std::uint64_t> demand_;
@@ -72,6 +72,6 @@
 
 /// @returns the median of how far clocks are ahead; 0 if there are none
 [[nodiscard]] Duration
-MedianAhead(std::vector<Duration> aAhead);
+MedianClockAhead(std::vector<Duration> aOffsets);
 
 } // namespace marjoramtally
--- a/src/process/order_fencing.cpp
+++ b/src/process/order_fencing.cpp
@@ -2,8 +2,8 @@
 
 namespace marjoramtally {
 
-OrderFence::OrderFence(bool aChecks, FencingPolicy aPolicy) noexcept
-  : checks_(aChecks)
+OrderFence::OrderFence(bool aChecksFencing, FencingPolicy aPolicy) noexcept
+  : checksFencing_(aChecksFencing)
   , policy_(aPolicy)
 {
 }
@@ -15,7 +15,8 @@
     return;
   }
   term_ = aTerm;
-  quietFrom_ = checks_ ? aNow : aNow + policy_.effect_ + policy_.margin_;
+  safeFrom_ =
+    checksFencing_ ? aNow : aNow + policy_.maxEffectDelay_ + policy_.margin_;
   stateKnown_ = false;
   confirmed_ = false;
 }
@@ -32,13 +33,13 @@
 OrderFence::OnUnknownEffect(TimePoint aNow) noexcept
 {
   stateKnown_ = false;
-  quietFrom_ = aNow + policy_.effect_ + policy_.margin_;
+  safeFrom_ = aNow + policy_.maxEffectDelay_ + policy_.margin_;
 }
 
 void
 OrderFence::OnStateRead(TimePoint aAskedAt) noexcept
 {
-  stateKnown_ = aAskedAt >= quietFrom_;
+  stateKnown_ = aAskedAt >= safeFrom_;
 }
 
 OrderPermission
@@ -47,10 +48,10 @@
   if (!term_ || aNow > SendBy()) {
     return OrderPermission::None;
   }
-  if (aNow < quietFrom_) {
-    return OrderPermission::WaitForLast;
+  if (aNow < safeFrom_) {
+    return OrderPermission::WaitForPreviousOwner;
   }
-  if (checks_ && !confirmed_) {
+  if (checksFencing_ && !confirmed_) {
     return OrderPermission::Announce;
   }
   return stateKnown_ ? OrderPermission::Send : OrderPermission::ReadBack;
@@ -59,10 +60,10 @@
 TimePoint
 OrderFence::SendBy() const noexcept
 {
-  if (checks_) {
+  if (checksFencing_) {
     return kNever;
   }
-  return leaseUntil_ - policy_.effect_ - policy_.margin_;
+  return leaseUntil_ - policy_.maxEffectDelay_ - policy_.margin_;
 }
 
 } // namespace marjoramtally
--- a/src/process/rollout.cpp
+++ b/src/process/rollout.cpp
@@ -33,7 +33,7 @@
                    TimePoint aNow,
                    RolloutActions& aOut)
 {
-  if (aUpstream.order_ || aUpstream.reading_) {
+  if (aUpstream.order_ || aUpstream.readInProgress_) {
     return;
   }
   const OrderPermission permission = aUpstream.fence_.Decide(aNow);
@@ -69,7 +69,7 @@
 Rollout::NextOrder(const Upstream& aUpstream) const
 {
   SendOrder order;
-  const auto goal = goals_.find(aUpstream.rule_.service_);
+  const auto goal = goals_.find(aUpstream.owned_.service_);
   if (goal != goals_.end()) {
     for (const auto& [model, version] : goal->second.versions_) {
       if (VersionOf(aUpstream.state_.served_, model) >= version) {
@@ -103,15 +103,15 @@
   if (aOrder.kind_ == OrderKind::Prefetch) {
     return MayLoad(aUpstream, aNow);
   }
-  if (aOrder.kind_ == OrderKind::Role || !Answers(aUpstream)) {
+  if (aOrder.kind_ == OrderKind::Role || !IsAnswering(aUpstream)) {
     return true;
   }
   // An owner whose lease is over no longer knows who else is switching.
   if (!aUpstream.fence_.LeaseHolds(aNow)) {
     return false;
   }
-  std::uint64_t& used = aUse[aUpstream.rule_.service_];
-  if (used >= goals_[aUpstream.rule_.service_].switchSlots_) {
+  std::uint64_t& used = aUse[aUpstream.owned_.service_];
+  if (used >= goals_[aUpstream.owned_.service_].switchSlots_) {
     return false;
   }
   ++used;
@@ -126,30 +126,30 @@
   }
   // A load that the store refused has had its permit; but in an outage of
   // the store permits bound the calls again.
-  const bool permitted =
-    aUpstream.refusedLoads_ > 0 && aUpstream.refusedLoads_ <= kMostDoublings;
+  const bool permitted = aUpstream.refusedLoads_ > 0 &&
+                         aUpstream.refusedLoads_ <= kMaxBackoffDoublings;
   return permitted || permits_->Take(aNow, aUpstream.failures_ > 0);
 }
 
 void
 Rollout::Read(Upstream& aUpstream, RolloutActions& aOut)
 {
-  aUpstream.reading_ = true;
-  aOut.emplace_back(ReadState{ aUpstream.rule_.id_ });
+  aUpstream.readInProgress_ = true;
+  aOut.emplace_back(ReadState{ aUpstream.owned_.id_ });
 }
 
 void
 Rollout::Send(Upstream& aUpstream, SendOrder aOrder, RolloutActions& aOut)
 {
-  aOrder.upstream_ = aUpstream.rule_.id_;
+  aOrder.upstream_ = aUpstream.owned_.id_;
   aOrder.number_ = ++lastOrder_;
   aOrder.term_ = *aUpstream.fence_.Term();
   aOrder.sendBy_ = aUpstream.fence_.SendBy();
-  if (!aUpstream.fence_.Checks()) {
+  if (!aUpstream.fence_.ChecksFencing()) {
     // Longer draining would take effect after the bound that a next owner
     // waits for.
     aOrder.drain_ =
-      std::min(aOrder.drain_, aUpstream.fence_.Policy().effect_ / 2);
+      std::min(aOrder.drain_, aUpstream.fence_.Policy().maxEffectDelay_ / 2);
   }
   loadsInProgress_ += aOrder.kind_ == OrderKind::Prefetch ? 1 : 0;
   aUpstream.settled_ = false;
@@ -163,7 +163,7 @@
   if (!aUpstream.settled_) {
     aUpstream.settled_ = true;
     aOut.emplace_back(
-      RolloutNotice{ aUpstream.rule_.id_, RolloutNoticeKind::Settled });
+      RolloutNotice{ aUpstream.owned_.id_, RolloutNoticeKind::Settled });
   }
   if (aNow >= aUpstream.nextRead_) {
     Read(aUpstream, aOut);
@@ -171,7 +171,7 @@
 }
 
 bool
-Rollout::Answers(const Upstream& aUpstream) noexcept
+Rollout::IsAnswering(const Upstream& aUpstream) noexcept
 {
   return aUpstream.readable_ && !aUpstream.state_.served_.empty();
 }
@@ -183,7 +183,8 @@
   for (const auto& [id, upstream] : upstreams_) {
     const bool switching =
       upstream.order_ && upstream.order_->kind_ == OrderKind::Switch;
-    use[upstream.rule_.service_] += switching || !Answers(upstream) ? 1 : 0;
+    use[upstream.owned_.service_] +=
+      switching || !IsAnswering(upstream) ? 1 : 0;
   }
   return use;
 }
@@ -195,7 +196,7 @@
   for (const auto& [id, upstream] : upstreams_) {
     ++counts.owned_;
     counts.settled_ += upstream.settled_ ? 1 : 0;
-    counts.answering_ += Answers(upstream) ? 1 : 0;
+    counts.answering_ += IsAnswering(upstream) ? 1 : 0;
     counts.inProgress_ += upstream.order_ ? 1 : 0;
   }
   return counts;
@@ -206,7 +207,7 @@
 {
   const auto found = upstreams_.find(aUpstream);
   return found != upstreams_.end() && !found->second.order_ &&
-         !found->second.reading_;
+         !found->second.readInProgress_;
 }
 
 } // namespace marjoramtally
--- a/src/process/rollout_events.cpp
+++ b/src/process/rollout_events.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// Reads in a row that fail until an upstream counts as out of rotation.
-constexpr std::uint64_t kFailedReads = 3;
+constexpr std::uint64_t kMaxFailedReads = 3;
 
 Duration
 Doubled(Duration aBase, std::uint64_t aTimes)
 {
-  return aBase * (1 << std::min(aTimes, kMostDoublings));
+  return aBase * (1 << std::min(aTimes, kMaxBackoffDoublings));
 }
 
 } // namespace
@@ -56,16 +56,16 @@
 }
 
 void
-Rollout::Own(const OwnedUpstream& aUpstream,
-             FencingNumber aTerm,
-             TimePoint aNow)
+Rollout::OnOwned(const OwnedUpstream& aUpstream,
+                 FencingNumber aTerm,
+                 TimePoint aNow)
 {
   Upstream& upstream = upstreams_[aUpstream.id_];
   const bool fresh =
-    upstream.rule_.id_ != aUpstream.id_ ||
-    upstream.rule_.checksFencing_ != aUpstream.checksFencing_ ||
+    upstream.owned_.id_ != aUpstream.id_ ||
+    upstream.owned_.checksFencing_ != aUpstream.checksFencing_ ||
     upstream.fence_.Policy() != policy_.fencing_;
-  upstream.rule_ = aUpstream;
+  upstream.owned_ = aUpstream;
   if (fresh) {
     upstream.fence_ = OrderFence(aUpstream.checksFencing_, policy_.fencing_);
     upstream.fence_.OnLease(leaseUntil_);
@@ -74,7 +74,7 @@
 }
 
 void
-Rollout::Lose(const UpstreamId& aUpstream)
+Rollout::OnLost(const UpstreamId& aUpstream)
 {
   const auto found = upstreams_.find(aUpstream);
   if (found == upstreams_.end()) {
@@ -107,14 +107,14 @@
     return;
   }
   Upstream& upstream = found->second;
-  upstream.reading_ = false;
+  upstream.readInProgress_ = false;
   upstream.readable_ = true;
   upstream.failedReads_ = 0;
   upstream.state_ = std::move(aState);
   upstream.fence_.OnStateRead(aAskedAt);
   upstream.nextRead_ = aNow + Jitter(policy_.readPeriod_);
-  if (upstream.out_ && Answers(upstream)) {
-    upstream.out_ = false;
+  if (upstream.outOfRotation_ && IsAnswering(upstream)) {
+    upstream.outOfRotation_ = false;
     Notify(upstream, RolloutNoticeKind::BackInRotation);
   }
 }
@@ -127,15 +127,15 @@
     return;
   }
   Upstream& upstream = found->second;
-  upstream.reading_ = false;
+  upstream.readInProgress_ = false;
   upstream.readable_ = false;
   upstream.settled_ = false;
   upstream.fence_.OnStateLost();
   ++upstream.failedReads_;
   upstream.nextRead_ =
-    aNow + Jitter(Doubled(policy_.retryPause_, upstream.failedReads_));
-  if (upstream.failedReads_ == kFailedReads && !upstream.out_) {
-    upstream.out_ = true;
+    aNow + Jitter(Doubled(policy_.retryDelay_, upstream.failedReads_));
+  if (upstream.failedReads_ == kMaxFailedReads && !upstream.outOfRotation_) {
+    upstream.outOfRotation_ = true;
     Notify(upstream, RolloutNoticeKind::OutOfRotation);
   }
 }
@@ -158,7 +158,7 @@
       break;
     case OrderEnd::Refused:
       upstream.fence_.OnRefused();
-      upstream.retryAt_ = aNow + Jitter(policy_.longPause_);
+      upstream.retryAt_ = aNow + Jitter(policy_.longRetryDelay_);
       break;
     case OrderEnd::StoreBusy:
       OnStoreBusy(upstream, aNow);
@@ -183,7 +183,7 @@
 {
   ++aUpstream.refusedLoads_;
   aUpstream.retryAt_ =
-    aNow + Jitter(Doubled(policy_.retryPause_, aUpstream.refusedLoads_ - 1));
+    aNow + Jitter(Doubled(policy_.retryDelay_, aUpstream.refusedLoads_ - 1));
 }
 
 void
@@ -213,34 +213,34 @@
 {
   aUpstream.nextRead_ = aNow;
   ++aUpstream.failures_;
-  if (aUpstream.failures_ >= policy_.tries_) {
-    GiveUp(aUpstream, aNow);
+  if (aUpstream.failures_ >= policy_.maxAttempts_) {
+    Abandon(aUpstream, aNow);
     return;
   }
   aUpstream.retryAt_ =
-    aNow + Jitter(Doubled(policy_.retryPause_, aUpstream.failures_ - 1));
+    aNow + Jitter(Doubled(policy_.retryDelay_, aUpstream.failures_ - 1));
   Notify(aUpstream, RolloutNoticeKind::Retried);
 }
 
 void
-Rollout::GiveUp(Upstream& aUpstream, TimePoint aNow)
+Rollout::Abandon(Upstream& aUpstream, TimePoint aNow)
 {
   aUpstream.failures_ = 0;
-  aUpstream.retryAt_ = aNow + Jitter(policy_.longPause_);
-  if (Answers(aUpstream)) {
+  aUpstream.retryAt_ = aNow + Jitter(policy_.longRetryDelay_);
+  if (IsAnswering(aUpstream)) {
     Notify(aUpstream, RolloutNoticeKind::LeftBehind);
     return;
   }
-  aUpstream.out_ = true;
+  aUpstream.outOfRotation_ = true;
   Notify(aUpstream, RolloutNoticeKind::OutOfRotation);
 }
 
 Duration
 Rollout::Jitter(Duration aDuration) noexcept
 {
-  constexpr double kLeast = 0.75;
+  constexpr double kMinFactor = 0.75;
   constexpr double kSpread = 0.5;
-  const double factor = kLeast + kSpread * random_.Unit();
+  const double factor = kMinFactor + kSpread * random_.Unit();
   return Duration(static_cast<Duration::rep>(
     static_cast<double>(aDuration.count()) * factor));
 }
@@ -248,7 +248,7 @@
 void
 Rollout::Notify(const Upstream& aUpstream, RolloutNoticeKind aKind)
 {
-  notices_.emplace_back(RolloutNotice{ aUpstream.rule_.id_, aKind });
+  notices_.emplace_back(RolloutNotice{ aUpstream.owned_.id_, aKind });
 }
 
 } // namespace marjoramtally
--- a/src/process/rollout_shares.cpp
+++ b/src/process/rollout_shares.cpp
@@ -11,11 +11,11 @@
 constexpr double kMicrosPerSecond = 1e6;
 /// Part of the weight store's rate that is kept for repeated loads.
 constexpr double kRetryShare = 0.1;
-constexpr std::uint64_t kReadsPerSecond = 20;
-constexpr Duration kLeastReadPeriod = std::chrono::milliseconds(500);
+constexpr std::uint64_t kMaxReadsPerSecond = 20;
+constexpr Duration kMinReadPeriod = std::chrono::milliseconds(500);
 
 std::uint64_t
-Affinity(const std::string& aSubject, const InstanceId& aInstance)
+RendezvousScore(const std::string& aSubject, const InstanceId& aInstance)
 {
   const std::string key = aSubject + '\n' + aInstance.Get();
   return XXH3_64bits(key.data(), key.size());
@@ -97,13 +97,15 @@
 
 std::uint64_t
 SwitchSlots(std::uint64_t aTotal,
-            std::uint64_t aFloor,
-            std::uint64_t aWave) noexcept
+            std::uint64_t aFloorPercent,
+            std::uint64_t aMaxWave) noexcept
 {
-  const std::uint64_t kept = (aTotal * aFloor + kPercent - 1) / kPercent;
+  const std::uint64_t kept = (aTotal * aFloorPercent + kPercent - 1) / kPercent;
   const std::uint64_t slots = aTotal > kept ? aTotal - kept : 0;
-  const std::uint64_t bounded = aWave == 0 ? slots : std::min(slots, aWave);
-  return aFloor < kPercent ? std::max(bounded, std::uint64_t{ 1 }) : bounded;
+  const std::uint64_t bounded =
+    aMaxWave == 0 ? slots : std::min(slots, aMaxWave);
+  return aFloorPercent < kPercent ? std::max(bounded, std::uint64_t{ 1 })
+                                  : bounded;
 }
 
 std::uint64_t
@@ -121,13 +123,13 @@
 SteadyShare::Update(std::uint64_t aShare, TimePoint aNow) noexcept
 {
   used_ = std::min(used_, aShare);
-  if (aShare <= used_ || offered_ <= used_) {
-    offered_ = aShare;
-    since_ = aNow;
+  if (aShare <= used_ || pending_ <= used_) {
+    pending_ = aShare;
+    pendingSince_ = aNow;
   }
-  offered_ = std::min(offered_, aShare);
-  if (offered_ > used_ && aNow - since_ >= hold_) {
-    used_ = offered_;
+  pending_ = std::min(pending_, aShare);
+  if (pending_ > used_ && aNow - pendingSince_ >= hold_) {
+    used_ = pending_;
   }
   return used_;
 }
@@ -137,23 +139,23 @@
 {
   const Duration paced = Duration(std::chrono::seconds(1)) *
                          static_cast<Duration::rep>(aOwned) /
-                         static_cast<Duration::rep>(kReadsPerSecond);
-  return std::max(kLeastReadPeriod, paced);
+                         static_cast<Duration::rep>(kMaxReadsPerSecond);
+  return std::max(kMinReadPeriod, paced);
 }
 
 std::vector<InstanceId>
 ChooseOwners(const ServiceId& aService,
              std::vector<InstanceId> aCandidates,
-             std::uint64_t aMost)
+             std::uint64_t aMaxOwners)
 {
   std::sort(aCandidates.begin(),
             aCandidates.end(),
             [&](const InstanceId& aLeft, const InstanceId& aRight) {
-              return Affinity(aService.Get(), aLeft) >
-                     Affinity(aService.Get(), aRight);
+              return RendezvousScore(aService.Get(), aLeft) >
+                     RendezvousScore(aService.Get(), aRight);
             });
-  if (aCandidates.size() > aMost) {
-    aCandidates.resize(aMost);
+  if (aCandidates.size() > aMaxOwners) {
+    aCandidates.resize(aMaxOwners);
   }
   return aCandidates;
 }
@@ -166,8 +168,8 @@
     std::max_element(aOwners.begin(),
                      aOwners.end(),
                      [&](const InstanceId& aLeft, const InstanceId& aRight) {
-                       return Affinity(aUpstream.Get(), aLeft) <
-                              Affinity(aUpstream.Get(), aRight);
+                       return RendezvousScore(aUpstream.Get(), aLeft) <
+                              RendezvousScore(aUpstream.Get(), aRight);
                      });
   return best == aOwners.end() ? InstanceId{} : *best;
 }
--- a/src/process/supply_plan.cpp
+++ b/src/process/supply_plan.cpp
@@ -12,7 +12,7 @@
 constexpr auto kRegistrationLag = std::chrono::seconds(4);
 
 std::uint32_t
-SumOf(const std::map<ZoneId, std::uint32_t>& aCounts)
+TotalCount(const std::map<ZoneId, std::uint32_t>& aCounts)
 {
   return std::accumulate(
     aCounts.begin(),
@@ -22,14 +22,14 @@
 }
 
 std::uint32_t
-CountAt(const std::map<ZoneId, std::uint32_t>& aCounts, const ZoneId& aZone)
+ZoneCount(const std::map<ZoneId, std::uint32_t>& aCounts, const ZoneId& aZone)
 {
   const auto found = aCounts.find(aZone);
   return found == aCounts.end() ? 0 : found->second;
 }
 
 double
-PriceOf(const SupplyView& aView, const ZoneId& aZone)
+ZonePrice(const SupplyView& aView, const ZoneId& aZone)
 {
   const auto price = aView.supply_.zonePrices_.find(aZone);
   return price == aView.supply_.zonePrices_.end() ? 1.0 : price->second;
@@ -44,36 +44,37 @@
 
 void
 SupplyPlan::OnDemand(const ServiceId& aService,
-                     std::uint64_t aPlaces,
+                     std::uint64_t aSlots,
                      TimePoint aNow)
 {
-  demand_.try_emplace(aService, policy_.memory_)
-    .first->second.OnDemand(aPlaces, aNow);
+  demand_.try_emplace(aService, policy_.demandWindow_)
+    .first->second.OnDemand(aSlots, aNow);
 }
 
 void
-SupplyPlan::OnRestored(const SupplyPlace& aPlace, std::uint32_t aCount)
+SupplyPlan::OnRestored(const SupplyPool& aPool, std::uint32_t aCount)
 {
-  ordered_[aPlace].count_ = aCount;
-  known_.insert(aPlace.service_);
+  ordered_[aPool].count_ = aCount;
+  settled_.insert(aPool.service_);
 }
 
 bool
 SupplyPlan::Settled(const SupplyView& aView, TimePoint aNow)
 {
-  if (known_.contains(aView.service_)) {
+  if (settled_.contains(aView.service_)) {
     return true;
   }
-  const std::uint32_t serving = SumOf(aView.serving_);
-  First& first =
-    first_.try_emplace(aView.service_, First{ 0, aNow }).first->second;
-  if (serving > first.count_) {
-    first = { serving, aNow };
+  const std::uint32_t serving = TotalCount(aView.serving_);
+  InitialCount& initial =
+    initial_.try_emplace(aView.service_, InitialCount{ 0, aNow }).first->second;
+  if (serving > initial.count_) {
+    initial = { serving, aNow };
   }
-  if (first.count_ == 0 || aNow - first.grown_ < policy_.settle_) {
+  if (initial.count_ == 0 ||
+      aNow - initial.lastIncrease_ < policy_.settleTime_) {
     return false;
   }
-  known_.insert(aView.service_);
+  settled_.insert(aView.service_);
   return true;
 }
 
@@ -88,10 +89,10 @@
 SupplyPlan::Wanted(const SupplyView& aView, TimePoint aNow) const
 {
   const std::uint64_t peak = Peak(aView.service_, aNow);
-  const auto first = first_.find(aView.service_);
+  const auto initial = initial_.find(aView.service_);
   const double upstreams =
-    peak == 0 ? policy_.beforeDemand_ *
-                  (first == first_.end() ? 0 : first->second.count_)
+    peak == 0 ? policy_.initialFactor_ *
+                  (initial == initial_.end() ? 0 : initial->second.count_)
               : policy_.headroom_ * static_cast<double>(peak) / aView.slots_;
   const auto zones = static_cast<std::uint32_t>(aView.serving_.size());
   const auto wanted = static_cast<std::uint32_t>(std::ceil(upstreams));
@@ -116,10 +117,10 @@
     }
   }
   std::stable_sort(
-    open.begin(), open.end(), [&](const auto& aOne, const auto& aOther) {
-      return PriceOf(aView, aOne) < PriceOf(aView, aOther);
+    open.begin(), open.end(), [&](const auto& aLeft, const auto& aRight) {
+      return ZonePrice(aView, aLeft) < ZonePrice(aView, aRight);
     });
-  std::uint32_t left = aWanted - std::min(aWanted, SumOf(spread));
+  std::uint32_t left = aWanted - std::min(aWanted, TotalCount(spread));
   bool added = true;
   while (left > 0 && added) {
     added = false;
@@ -135,9 +136,9 @@
 }
 
 SupplyPlan::Ordered&
-SupplyPlan::Find(const SupplyPlace& aPlace, std::uint32_t aServing)
+SupplyPlan::Find(const SupplyPool& aPool, std::uint32_t aServing)
 {
-  const auto [it, added] = ordered_.try_emplace(aPlace);
+  const auto [it, added] = ordered_.try_emplace(aPool);
   if (added) {
     // What was there at first is what the platform was told to hold.
     it->second.count_ = aServing;
@@ -146,26 +147,27 @@
 }
 
 bool
-SupplyPlan::MayLower(const SupplyView& aView,
-                     std::uint32_t aWanted,
-                     TimePoint aNow)
+SupplyPlan::MayScaleDown(const SupplyView& aView,
+                         std::uint32_t aWanted,
+                         TimePoint aNow)
 {
-  if (aWanted >= SumOf(aView.serving_) || Peak(aView.service_, aNow) == 0) {
+  if (aWanted >= TotalCount(aView.serving_) ||
+      Peak(aView.service_, aNow) == 0) {
     surplusSince_.erase(aView.service_);
     return false;
   }
   const TimePoint since =
     surplusSince_.try_emplace(aView.service_, aNow).first->second;
-  return policy_.lowerAfter_ > Duration{ 0 } &&
-         aNow - since >= policy_.lowerAfter_;
+  return policy_.scaleDownDelay_ > Duration{ 0 } &&
+         aNow - since >= policy_.scaleDownDelay_;
 }
 
 std::string_view
-SupplyPlan::WhyOrder(Ordered& aOrdered,
-                     std::uint32_t aTarget,
-                     std::uint32_t aServing,
-                     Duration aBootTime,
-                     TimePoint aNow) const
+SupplyPlan::OrderReason(Ordered& aOrdered,
+                        std::uint32_t aTarget,
+                        std::uint32_t aServing,
+                        Duration aBootTime,
+                        TimePoint aNow) const
 {
   if (aServing >= aOrdered.count_) {
     aOrdered.shortSince_ = kNever;
@@ -200,32 +202,32 @@
     return orders;
   }
   const std::uint32_t wanted = Wanted(aView, aNow);
-  const bool mayLower = MayLower(aView, wanted, aNow);
+  const bool mayScaleDown = MayScaleDown(aView, wanted, aNow);
   const auto spread = Spread(aView, wanted, aNow);
   for (const auto& [zone, total] : spread) {
-    const std::uint32_t spotServing = CountAt(aView.spot_, zone);
-    const std::uint32_t firm = CountAt(aView.serving_, zone) - spotServing;
-    const SupplyPlace firmPlace{ aView.service_, zone, false };
-    const SupplyPlace spotPlace{ aView.service_, zone, true };
-    const std::uint32_t base = Find(firmPlace, firm).count_;
+    const std::uint32_t spotServing = ZoneCount(aView.spot_, zone);
+    const std::uint32_t firm = ZoneCount(aView.serving_, zone) - spotServing;
+    const SupplyPool firmPool{ aView.service_, zone, false };
+    const SupplyPool spotPool{ aView.service_, zone, true };
+    const std::uint32_t base = Find(firmPool, firm).count_;
     const std::uint32_t extra = total - std::min(total, base);
     const auto spot = static_cast<std::uint32_t>(policy_.spotShare_ * extra);
-    const auto add = [&](const SupplyPlace& aPlace,
+    const auto add = [&](const SupplyPool& aPool,
                          std::uint32_t aTarget,
                          std::uint32_t aServing) {
-      Ordered& ordered = Find(aPlace, aServing);
+      Ordered& ordered = Find(aPool, aServing);
       const std::uint32_t target =
-        mayLower ? aTarget : std::max(aTarget, ordered.count_);
-      const std::string_view why =
-        WhyOrder(ordered, target, aServing, aView.supply_.bootTime_, aNow);
-      if (!why.empty()) {
+        mayScaleDown ? aTarget : std::max(aTarget, ordered.count_);
+      const std::string_view reason =
+        OrderReason(ordered, target, aServing, aView.supply_.bootTime_, aNow);
+      if (!reason.empty()) {
         ordered.pending_ = true;
-        orders.push_back({ aPlace, target, why });
+        orders.push_back({ aPool, target, reason });
       }
     };
-    add(firmPlace, total - spot, firm);
+    add(firmPool, total - spot, firm);
     if (policy_.spotShare_ > 0 && aView.supply_.spotPrice_ > 0) {
-      add(spotPlace, spot, spotServing);
+      add(spotPool, spot, spotServing);
     }
   }
   return orders;
@@ -234,7 +236,7 @@
 void
 SupplyPlan::OnEnd(const PlannedSupply& aOrder, SupplyEnd aEnd, TimePoint aNow)
 {
-  Ordered& ordered = ordered_[aOrder.place_];
+  Ordered& ordered = ordered_[aOrder.pool_];
   ordered.pending_ = false;
   switch (aEnd) {
     case SupplyEnd::Accepted:
@@ -245,12 +247,12 @@
       ordered.shortSince_ = kNever;
       return;
     case SupplyEnd::Unavailable:
-      ordered.unavailableUntil_ = aNow + policy_.unavailable_;
+      ordered.unavailableUntil_ = aNow + policy_.unavailableRetryDelay_;
       return;
     case SupplyEnd::Unknown:
       // Sent again at once by the next plan, and once more when the lost one
       // can no longer take effect.
-      ordered.repeatAt_ = aNow + policy_.latestEffect_;
+      ordered.repeatAt_ = aNow + policy_.maxEffectDelay_;
       return;
   }
 }
--- a/src/process/usage_book.cpp
+++ b/src/process/usage_ledger.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/process/usage_book.hpp"
+#include "marjoramtally/process/usage_ledger.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -40,74 +40,74 @@
   }
 }
 
-UsageBook::UsageBook(UsagePolicy aPolicy)
+UsageLedger::UsageLedger(UsagePolicy aPolicy)
   : policy_(aPolicy)
 {
 }
 
 TrueTime
-UsageBook::EndOf(UsageWindow aWindow) const noexcept
+UsageLedger::EndOf(UsageWindow aWindow) const noexcept
 {
   return TrueTime{ policy_.window_ * static_cast<std::int64_t>(aWindow + 1) };
 }
 
 void
-UsageBook::Begin(std::map<UsageWindow, SettledWindow> aSettled, TrueTime aNow)
+UsageLedger::Begin(std::map<UsageWindow, SettledWindow> aSettled, TrueTime aNow)
 {
   settled_ = std::move(aSettled);
-  told_.clear();
-  asked_.clear();
+  reported_.clear();
+  requestedAt_.clear();
   const UsageWindow present = WindowOf(aNow, policy_.window_);
   next_ = settled_.empty() ? present : settled_.rbegin()->first + 1;
   // Of windows longer ago nobody holds counts any more.
-  const auto kept =
-    static_cast<UsageWindow>(UsageMeter::kKept / policy_.window_);
-  if (present > kept) {
-    next_ = std::max(next_, present - kept);
+  const auto retained =
+    static_cast<UsageWindow>(UsageMeter::kRetention / policy_.window_);
+  if (present > retained) {
+    next_ = std::max(next_, present - retained);
   }
 }
 
 void
-UsageBook::OnUsage(const GatewayUsage& aUsage, TrueTime aAsked)
+UsageLedger::OnUsage(const GatewayUsage& aUsage, TrueTime aRequestedAt)
 {
   for (const auto& [window, counts] : aUsage.counts_) {
     if (window >= next_) {
-      told_[window][aUsage.incarnation_] = counts;
+      reported_[window][aUsage.incarnation_] = counts;
     }
   }
-  TrueTime& asked = asked_[aUsage.incarnation_];
-  asked = std::max(asked, aAsked);
+  TrueTime& asked = requestedAt_[aUsage.incarnation_];
+  asked = std::max(asked, aRequestedAt);
 }
 
 std::optional<UsageWindow>
-UsageBook::NextDue(TrueTime aNow, const std::set<std::string>& aLive) const
+UsageLedger::NextDue(TrueTime aNow, const std::set<std::string>& aLive) const
 {
   const TrueTime end = EndOf(next_);
-  const TrueTime collected{ end.sinceEpoch_ + policy_.collect_ };
+  const TrueTime collected{ end.sinceEpoch_ + policy_.collectionDelay_ };
   if (aNow < collected) {
     return std::nullopt;
   }
-  const bool whole =
+  const bool complete =
     !aLive.empty() &&
     std::all_of(aLive.begin(), aLive.end(), [&](const std::string& aGateway) {
-      const auto asked = asked_.find(aGateway);
-      return asked != asked_.end() && asked->second >= collected;
+      const auto asked = requestedAt_.find(aGateway);
+      return asked != requestedAt_.end() && asked->second >= collected;
     });
-  const auto longest =
-    std::chrono::duration_cast<Duration>(policy_.late_ * policy_.longestShare_);
+  const auto longest = std::chrono::duration_cast<Duration>(
+    policy_.reportDeadline_ * policy_.maxWaitShare_);
   const bool last = aNow.sinceEpoch_ - end.sinceEpoch_ >= longest;
-  return whole || last ? std::optional(next_) : std::nullopt;
+  return complete || last ? std::optional(next_) : std::nullopt;
 }
 
 CustomerCounts
-UsageBook::CountsOf(UsageWindow aWindow) const
+UsageLedger::CountsOf(UsageWindow aWindow) const
 {
   CustomerCounts sum;
-  const auto told = told_.find(aWindow);
-  if (told == told_.end()) {
+  const auto reported = reported_.find(aWindow);
+  if (reported == reported_.end()) {
     return sum;
   }
-  for (const auto& [gateway, counts] : told->second) {
+  for (const auto& [gateway, counts] : reported->second) {
     for (const auto& [customer, count] : counts) {
       sum[customer] += count;
     }
@@ -116,15 +116,15 @@
 }
 
 void
-UsageBook::OnSettled(UsageWindow aWindow, SettledWindow aSettled)
+UsageLedger::OnSettled(UsageWindow aWindow, SettledWindow aSettled)
 {
   settled_[aWindow] = std::move(aSettled);
   next_ = std::max(next_, aWindow + 1);
-  told_.erase(told_.begin(), told_.lower_bound(next_));
+  reported_.erase(reported_.begin(), reported_.lower_bound(next_));
 }
 
 std::optional<UsageWindow>
-UsageBook::NextToSend() const
+UsageLedger::NextToSend() const
 {
   for (const auto& [window, settled] : settled_) {
     if (!settled.sent_) {
@@ -135,7 +135,7 @@
 }
 
 void
-UsageBook::OnSent(UsageWindow aWindow)
+UsageLedger::OnSent(UsageWindow aWindow)
 {
   const auto settled = settled_.find(aWindow);
   if (settled != settled_.end()) {
@@ -144,10 +144,10 @@
 }
 
 std::vector<UsageWindow>
-UsageBook::TakeOld()
+UsageLedger::TakeObsolete()
 {
   std::vector<UsageWindow> old;
-  while (settled_.size() > kKeptWindows && settled_.begin()->second.sent_) {
+  while (settled_.size() > kRetainedWindows && settled_.begin()->second.sent_) {
     old.push_back(settled_.begin()->first);
     settled_.erase(settled_.begin());
   }
--- a/src/process/usage_messages.cpp
+++ b/src/process/usage_messages.cpp
@@ -11,7 +11,7 @@
 Write(wire::GatewayUsage::Builder aOut, const GatewayUsage& aUsage)
 {
   aOut.setIncarnation(aUsage.incarnation_);
-  aOut.setAheadMicros(aUsage.ahead_.count());
+  aOut.setAheadMicros(aUsage.clockAhead_.count());
   auto windows =
     aOut.initWindows(static_cast<std::uint32_t>(aUsage.counts_.size()));
   std::uint32_t at = 0;
@@ -54,7 +54,7 @@
 {
   GatewayUsage usage;
   usage.incarnation_ = aIn.getIncarnation().cStr();
-  usage.ahead_ = Duration{ aIn.getAheadMicros() };
+  usage.clockAhead_ = Duration{ aIn.getAheadMicros() };
   for (const auto window : aIn.getWindows()) {
     CustomerCounts& counts = usage.counts_[window.getWindow()];
     for (const auto entry : window.getCounts()) {
@@ -76,40 +76,41 @@
 } // namespace
 
 std::string
-EncodeUsageAsk(const UsageAsk& aAsk)
+EncodeUsageRequest(const UsageRequest& aRequest)
 {
   capnp::MallocMessageBuilder builder;
-  auto ask = builder.initRoot<wire::UsageAsk>();
-  ask.setTrueMicros(aAsk.now_.sinceEpoch_.count());
-  ask.setWindowMicros(aAsk.window_.count());
-  auto others = ask.initOthers(static_cast<std::uint32_t>(aAsk.others_.size()));
+  auto request = builder.initRoot<wire::UsageAsk>();
+  request.setTrueMicros(aRequest.now_.sinceEpoch_.count());
+  request.setWindowMicros(aRequest.window_.count());
+  auto others =
+    request.initOthers(static_cast<std::uint32_t>(aRequest.others_.size()));
   for (std::uint32_t i = 0; i < others.size(); ++i) {
-    others.set(i, aAsk.others_[i]);
+    others.set(i, aRequest.others_[i]);
   }
   return impl::Flatten(builder);
 }
 
-Result<UsageAsk>
-DecodeUsageAsk(std::string_view aBytes)
+Result<UsageRequest>
+DecodeUsageRequest(std::string_view aBytes)
 {
-  return impl::ReadMessage<wire::UsageAsk, UsageAsk>(
-    aBytes, [](wire::UsageAsk::Reader aIn) -> Result<UsageAsk> {
-      UsageAsk ask{ { Duration{ aIn.getTrueMicros() } },
-                    Duration{ aIn.getWindowMicros() },
-                    {} };
-      if (ask.window_ <= Duration{ 0 } ||
-          ask.now_.sinceEpoch_ < Duration{ 0 }) {
+  return impl::ReadMessage<wire::UsageAsk, UsageRequest>(
+    aBytes, [](wire::UsageAsk::Reader aIn) -> Result<UsageRequest> {
+      UsageRequest request{ { Duration{ aIn.getTrueMicros() } },
+                            Duration{ aIn.getWindowMicros() },
+                            {} };
+      if (request.window_ <= Duration{ 0 } ||
+          request.now_.sinceEpoch_ < Duration{ 0 }) {
         return Error{ ErrorKind::BadInput, "no window or no time" };
       }
       for (const auto other : aIn.getOthers()) {
-        ask.others_.emplace_back(other.cStr());
+        request.others_.emplace_back(other.cStr());
       }
-      return ask;
+      return request;
     });
 }
 
 std::string
-EncodeUsageAnswer(const std::vector<GatewayUsage>& aGateways)
+EncodeUsageReply(const std::vector<GatewayUsage>& aGateways)
 {
   capnp::MallocMessageBuilder builder;
   auto gateways = builder.initRoot<wire::UsageAnswer>().initGateways(
@@ -121,7 +122,7 @@
 }
 
 Result<std::vector<GatewayUsage>>
-DecodeUsageAnswer(std::string_view aBytes)
+DecodeUsageReply(std::string_view aBytes)
 {
   return impl::ReadMessage<wire::UsageAnswer, std::vector<GatewayUsage>>(
     aBytes,
--- a/src/process/usage_meter.cpp
+++ b/src/process/usage_meter.cpp
@@ -5,12 +5,12 @@
 namespace marjoramtally {
 
 void
-UsageMeter::OnBegun(const CustomerId& aCustomer, TimePoint aAt)
+UsageMeter::OnRequestStarted(const CustomerId& aCustomer, TimePoint aAt)
 {
-  const TimePoint grain{ aAt.sinceStart_ / kGrain * kGrain };
-  ++begun_[grain][aCustomer];
-  while (begun_.begin()->first + kKept < aAt) {
-    begun_.erase(begun_.begin());
+  const TimePoint bucket{ aAt.sinceStart_ / kResolution * kResolution };
+  ++started_[bucket][aCustomer];
+  while (started_.begin()->first + kRetention < aAt) {
+    started_.erase(started_.begin());
   }
 }
 
@@ -18,7 +18,7 @@
 UsageMeter::Counts(TimePoint aNow, TrueTime aTrueNow, Duration aWindow) const
 {
   UsageCounts counts;
-  for (const auto& [at, customers] : begun_) {
+  for (const auto& [at, customers] : started_) {
     const TrueTime begun{ aTrueNow.sinceEpoch_ - (aNow - at) };
     CustomerCounts& window = counts[WindowOf(begun, aWindow)];
     for (const auto& [customer, count] : customers) {
@@ -29,14 +29,14 @@
 }
 
 Duration
-MedianAhead(std::vector<Duration> aAhead)
+MedianClockAhead(std::vector<Duration> aOffsets)
 {
-  if (aAhead.empty()) {
+  if (aOffsets.empty()) {
     return Duration{ 0 };
   }
   const auto middle =
-    aAhead.begin() + static_cast<std::ptrdiff_t>(aAhead.size() / 2);
-  std::nth_element(aAhead.begin(), middle, aAhead.end());
+    aOffsets.begin() + static_cast<std::ptrdiff_t>(aOffsets.size() / 2);
+  std::nth_element(aOffsets.begin(), middle, aOffsets.end());
   return *middle;
 }
 
--- a/src/programs/controld/order_service.cpp
+++ b/src/programs/controld/order_service.cpp
@@ -86,7 +86,7 @@
   if (lease != 0 && lease != lease_) {
     // What we owned went with the last lease, whatever the view still says.
     for (const auto& [id, rule] : aView.rules_->upstreams_) {
-      rollout_.Lose(id);
+      rollout_.OnLost(id);
     }
     lease_ = lease;
     claims_.clear();
@@ -97,7 +97,7 @@
     if (IsOrdered(aView, rule)) {
       Place(aView, services.at(ServiceId{ rule.service_ }), rule);
     } else {
-      rollout_.Lose(id);
+      rollout_.OnLost(id);
     }
   }
   SetGoals(aView, services);
@@ -147,7 +147,7 @@
   const Rules& rules = *aView.rules_;
   RolloutPolicy policy;
   policy.fencing_.margin_ = rules.orders_.margin_;
-  policy.fencing_.effect_ = rules.orders_.effect_;
+  policy.fencing_.maxEffectDelay_ = rules.orders_.effect_;
   policy.loadsPerSecond_ =
     RateShare(static_cast<double>(rules.weightStore_.rate_), owned, total);
   policy.parallelLoads_ =
@@ -194,7 +194,7 @@
   const OwnerRecord* owner = OwnerOf(aView, aRule.id_);
   const bool preferred = PreferredFor(aView, aService, aRule) == self;
   if (owner != nullptr && owner->owner_ != self) {
-    rollout_.Lose(aRule.id_);
+    rollout_.OnLost(aRule.id_);
     claims_.erase(aRule.id_);
     return;
   }
@@ -208,9 +208,9 @@
   if (owner->lease_ != lease_) {
     return;
   }
-  rollout_.Own({ aRule.id_, ServiceId{ aRule.service_ }, aRule.fencing_ },
-               owner->term_,
-               host_.Now());
+  rollout_.OnOwned({ aRule.id_, ServiceId{ aRule.service_ }, aRule.fencing_ },
+                   owner->term_,
+                   host_.Now());
   rollout_.SetRole(aRule.id_, RoleFor(aView, aRule));
   claims_.erase(aRule.id_);
   if (preferred) {
@@ -282,7 +282,7 @@
     return;
   }
   misplaced_.erase(aUpstream);
-  rollout_.Lose(aUpstream);
+  rollout_.OnLost(aUpstream);
   const std::string key = std::string(kOwnerPrefix) + DutyOf(aUpstream);
   StoreTxn txn;
   txn.compares_.push_back({ key, aTerm.Get() });
--- a/src/programs/gatewayd/forwarder_use.cpp
+++ b/src/programs/gatewayd/forwarder_use.cpp
@@ -15,7 +15,7 @@
 {
   const CustomerId& customer = aFlight.request_.customer_;
   if (aFlight.begun_ && !customer.Get().empty()) {
-    usage_.OnBegun(customer, *aFlight.begun_);
+    usage_.OnRequestStarted(customer, *aFlight.begun_);
   }
 }
 
--- a/src/programs/gatewayd/usage_service.cpp
+++ b/src/programs/gatewayd/usage_service.cpp
@@ -25,11 +25,11 @@
 }
 
 GatewayUsage
-UsageService::Own(const UsageAsk& aAsk)
+UsageService::Own(const UsageRequest& aAsk)
 {
   GatewayUsage usage;
   usage.incarnation_ = host_.Incarnation();
-  usage.ahead_ = host_.WallTime() - aAsk.now_.sinceEpoch_;
+  usage.clockAhead_ = host_.WallTime() - aAsk.now_.sinceEpoch_;
   usage.counts_ =
     forwarder_.Usage().Counts(host_.Now(), aAsk.now_, aAsk.window_);
   usage.demand_ = runner_.PlacesWanted();
@@ -44,7 +44,7 @@
 void
 UsageService::Serve(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto ask = DecodeUsageAsk(aCall.body_);
+  const auto ask = DecodeUsageRequest(aCall.body_);
   if (!ask) {
     LogEvent(LogLevel::Warn,
              "usage_ask_unreadable",
@@ -57,7 +57,7 @@
   round->left_ = ask.value().others_.size();
   round->done_ = aDone;
   if (round->left_ == 0) {
-    aDone(EncodeUsageAnswer(round->answers_));
+    aDone(EncodeUsageReply(round->answers_));
     return;
   }
   for (const std::string& other : ask.value().others_) {
@@ -67,16 +67,16 @@
 
 void
 UsageService::AskOther(const std::string& aAddress,
-                       const UsageAsk& aAsk,
+                       const UsageRequest& aAsk,
                        const std::shared_ptr<Round>& aRound)
 {
   RpcCall call;
   call.topic_ = RpcTopic::Usage;
   call.timeout_ = kOtherTimeout;
-  call.body_ = EncodeUsageAsk({ aAsk.now_, aAsk.window_, {} });
+  call.body_ = EncodeUsageRequest({ aAsk.now_, aAsk.window_, {} });
   host_.Peers().Call(
     aAddress, std::move(call), [aAddress, aRound](const RpcReply& aReply) {
-      auto answers = aReply ? DecodeUsageAnswer(aReply.value())
+      auto answers = aReply ? DecodeUsageReply(aReply.value())
                             : Result<std::vector<GatewayUsage>>(aReply.error());
       if (answers) {
         std::move(answers.value().begin(),
@@ -88,7 +88,7 @@
                  { { "by", aAddress }, { "error", answers.error().message_ } });
       }
       if (--aRound->left_ == 0) {
-        aRound->done_(EncodeUsageAnswer(aRound->answers_));
+        aRound->done_(EncodeUsageReply(aRound->answers_));
       }
     });
 }
--- a/src/programs/gatewayd/usage_service.hpp
+++ b/src/programs/gatewayd/usage_service.hpp
@@ -26,9 +26,9 @@
   };
 
   void Serve(const RpcCall& aCall, const RpcDone& aDone);
-  [[nodiscard]] GatewayUsage Own(const UsageAsk& aAsk);
+  [[nodiscard]] GatewayUsage Own(const UsageRequest& aAsk);
   void AskOther(const std::string& aAddress,
-                const UsageAsk& aAsk,
+                const UsageRequest& aAsk,
                 const std::shared_ptr<Round>& aRound);
 
   GatewayContext& host_;
--- a/src/programs/load/rollout_fleet.cpp
+++ b/src/programs/load/rollout_fleet.cpp
@@ -109,7 +109,7 @@
       owners_.emplace_back(policy, random_.Next(), MakePermits());
     }
     for (std::size_t i = 0; i < samplers_.size(); ++i) {
-      owners_[i % owners_.size()].Own(
+      owners_[i % owners_.size()].OnOwned(
         { NameOf(i), kService, true }, kTerm, loop_.Now());
     }
   }
--- a/src/programs/orderd/gateway_poll.cpp
+++ b/src/programs/orderd/gateway_poll.cpp
@@ -137,7 +137,7 @@
   RpcCall call;
   call.topic_ = RpcTopic::Usage;
   call.timeout_ = kAskTimeout;
-  call.body_ = EncodeUsageAsk(
+  call.body_ = EncodeUsageRequest(
     { now,
       window > Duration{ 0 } ? window : Duration{ std::chrono::seconds(5) },
       std::move(aAddresses) });
@@ -157,11 +157,11 @@
     return;
   }
   const auto answers = aReply
-                         ? DecodeUsageAnswer(aReply.value())
+                         ? DecodeUsageReply(aReply.value())
                          : Result<std::vector<GatewayUsage>>(aReply.error());
   if (answers) {
     for (const GatewayUsage& usage : answers.value()) {
-      ahead_.push_back(usage.ahead_);
+      ahead_.push_back(usage.clockAhead_);
       if (onUsage_) {
         onUsage_(usage, aAsked);
       }
@@ -181,7 +181,7 @@
 void
 GatewayPoll::EndRound()
 {
-  const Duration step = MedianAhead(ahead_);
+  const Duration step = MedianClockAhead(ahead_);
   if (!ahead_.empty()) {
     if (std::chrono::abs(step) > Duration{ kSmallStep }) {
       LogEvent(LogLevel::Info,
--- a/src/programs/orderd/order_duty.cpp
+++ b/src/programs/orderd/order_duty.cpp
@@ -276,7 +276,8 @@
            "version_named",
            { { "model", named.value().model_ },
              { "version", std::to_string(named.value().version_.Get()) } });
-  plan_.OnNamed(named.value().model_, named.value().version_, host_.Now());
+  plan_.OnVersionAnnounced(
+    named.value().model_, named.value().version_, host_.Now());
   planDue_ = true;
 }
 
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -80,7 +80,7 @@
   planPace_.OnDone(begun, ended);
   TellPlanTime(upstreams.size(), loads.size(), ended - begun);
   plan_.OnOrdered(ended);
-  host_.Measures().Set("loads_at_once", plan_.LoadsAtOnce());
+  host_.Measures().Set("loads_at_once", plan_.ConcurrentLoadLimit());
   host_.Measures().Set("loads_in_progress", plan_.LoadsInProgress());
   for (const PlannedLoad& load : loads) {
     Begin(load);
@@ -100,7 +100,7 @@
              "plan_slow",
              { { "upstreams", std::to_string(aUpstreams) },
                { "loads", std::to_string(aLoads) },
-               { "looks", std::to_string(plan_.Looks()) },
+               { "looks", std::to_string(plan_.ExaminedCandidates()) },
                { "took_ms", std::to_string(WholeMillis(aTook)) } });
   }
 }
@@ -216,7 +216,7 @@
           { "took_ms",
             std::to_string(WholeMillis(host_.Now() - target.accepted_)) },
           { "in_progress", std::to_string(plan_.LoadsInProgress()) },
-          { "at_once", std::to_string(plan_.LoadsAtOnce()) },
+          { "at_once", std::to_string(plan_.ConcurrentLoadLimit()) },
           { "outcome", reached ? "loaded" : "lost" } });
       target.phase_ = Phase::Idle;
       if (reached) {
--- a/src/programs/orderd/supply_duty.cpp
+++ b/src/programs/orderd/supply_duty.cpp
@@ -14,7 +14,7 @@
 constexpr auto kOrderTimeout = std::chrono::milliseconds(1500);
 
 std::string
-KeyOf(const SupplyPlace& aPlace)
+KeyOf(const SupplyPool& aPlace)
 {
   return fmt::format("{}{}/{}/{}",
                      kOrdered,
@@ -23,7 +23,7 @@
                      aPlace.spot_ ? "spot" : "firm");
 }
 
-std::optional<SupplyPlace>
+std::optional<SupplyPool>
 PlaceOf(std::string_view aKey)
 {
   aKey.remove_prefix(kOrdered.size());
@@ -33,10 +33,10 @@
   if (kind == 0 || zone == std::string_view::npos) {
     return std::nullopt;
   }
-  return SupplyPlace{ ServiceId{ std::string(aKey.substr(0, zone)) },
-                      ZoneId{
-                        std::string(aKey.substr(zone + 1, kind - zone - 1)) },
-                      aKey.substr(kind + 1) == "spot" };
+  return SupplyPool{ ServiceId{ std::string(aKey.substr(0, zone)) },
+                     ZoneId{
+                       std::string(aKey.substr(zone + 1, kind - zone - 1)) },
+                     aKey.substr(kind + 1) == "spot" };
 }
 
 } // namespace
@@ -136,13 +136,13 @@
       LogEvent(
         LogLevel::Info,
         "supply_planned",
-        { { "service", order.place_.service_.Get() },
-          { "zone", order.place_.zone_.Get() },
-          { "spot", order.place_.spot_ ? "yes" : "no" },
+        { { "service", order.pool_.service_.Get() },
+          { "zone", order.pool_.zone_.Get() },
+          { "spot", order.pool_.spot_ ? "yes" : "no" },
           { "count", std::to_string(order.count_) },
           { "wanted", std::to_string(plan_.Wanted(view, now)) },
-          { "serving", std::to_string(view.serving_.at(order.place_.zone_)) },
-          { "why", std::string(order.why_) } });
+          { "serving", std::to_string(view.serving_.at(order.pool_.zone_)) },
+          { "why", std::string(order.reason_) } });
       Note(order);
     }
   }
@@ -154,7 +154,7 @@
   StoreTxn txn;
   txn.compares_.push_back(lease_.Compare());
   txn.puts_.push_back(
-    { KeyOf(aOrder.place_), std::to_string(aOrder.count_), 0 });
+    { KeyOf(aOrder.pool_), std::to_string(aOrder.count_), 0 });
   host_.PlatformStore().Commit(
     std::move(txn),
     [this, aOrder, term = term_](const Result<StoreCommit>& aEnd) {
@@ -178,10 +178,10 @@
   }
   HttpCall call = host_.Formats().MakeSupplyCall(host_.Settings().dutyCalls_,
                                                  lease_.Caller(),
-                                                 { aOrder.place_.service_,
-                                                   aOrder.place_.zone_,
+                                                 { aOrder.pool_.service_,
+                                                   aOrder.pool_.zone_,
                                                    aOrder.count_,
-                                                   aOrder.place_.spot_ });
+                                                   aOrder.pool_.spot_ });
   call.timeout_ = kOrderTimeout;
   call.connectTimeout_ = kOrderTimeout;
   lease_.OnCalled();
@@ -216,16 +216,16 @@
   plan_.OnEnd(aOrder, aEnd, host_.Now());
   if (aEnd == SupplyEnd::Accepted) {
     host_.Measures().Set("upstreams_ordered{service=\"" +
-                           aOrder.place_.service_.Get() + "\",zone=\"" +
-                           aOrder.place_.zone_.Get() + "\",kind=\"" +
-                           (aOrder.place_.spot_ ? "spot" : "firm") + "\"}",
+                           aOrder.pool_.service_.Get() + "\",zone=\"" +
+                           aOrder.pool_.zone_.Get() + "\",kind=\"" +
+                           (aOrder.pool_.spot_ ? "spot" : "firm") + "\"}",
                          aOrder.count_);
   }
   LogEvent(LogLevel::Info,
            "supply_ordered",
-           { { "service", aOrder.place_.service_.Get() },
-             { "zone", aOrder.place_.zone_.Get() },
-             { "spot", aOrder.place_.spot_ ? "yes" : "no" },
+           { { "service", aOrder.pool_.service_.Get() },
+             { "zone", aOrder.pool_.zone_.Get() },
+             { "spot", aOrder.pool_.spot_ ? "yes" : "no" },
              { "count", std::to_string(aOrder.count_) },
              { "fence", std::to_string(lease_.Fence().Get()) },
              { "answer", std::string(aAnswer) } });
--- a/src/programs/orderd/usage_duty.cpp
+++ b/src/programs/orderd/usage_duty.cpp
@@ -169,7 +169,7 @@
                           WriteSettledWindow(before.rbegin()->second),
                           0 });
   }
-  for (const UsageWindow old : book_.TakeOld()) {
+  for (const UsageWindow old : book_.TakeObsolete()) {
     txn.deletes_.push_back(KeyOf(old));
   }
   host_.PlatformStore().Commit(
--- a/src/programs/orderd/usage_duty.hpp
+++ b/src/programs/orderd/usage_duty.hpp
@@ -1,7 +1,7 @@
 /// The duty of reporting what customers used, for the holder of the lease.
 #pragma once
 
-#include "marjoramtally/process/usage_book.hpp"
+#include "marjoramtally/process/usage_ledger.hpp"
 #include "programs/orderd/gateway_poll.hpp"
 
 namespace marjoramtally {
@@ -19,7 +19,7 @@
   }
   /// Settles and sends what is due.
   void Advance();
-  [[nodiscard]] const UsageBook& Book() const noexcept { return book_; }
+  [[nodiscard]] const UsageLedger& Book() const noexcept { return book_; }
 
 private:
   void Begin();
@@ -45,7 +45,7 @@
   GatewayContext& host_;
   DutyLease& lease_;
   GatewayPoll& poll_;
-  UsageBook book_;
+  UsageLedger book_;
   /// Counts the times that the duty began or ended.
   std::uint64_t term_ = 0;
   /// What earlier holders settled is known.
--- a/tests/rollout_owner.hpp
+++ b/tests/rollout_owner.hpp
@@ -44,7 +44,7 @@
 MakePolicy()
 {
   RolloutPolicy policy;
-  policy.tries_ = 3;
+  policy.maxAttempts_ = 3;
   return policy;
 }
 
@@ -65,7 +65,7 @@
   void Own(const UpstreamId& aId, FakeEngine& aEngine, std::uint64_t aTerm)
   {
     engines_[aId] = &aEngine;
-    rollout_.Own(
+    rollout_.OnOwned(
       { aId, kService, aEngine.checks_ }, FencingNumber{ aTerm }, now_);
   }
   void Want(std::uint64_t aVersion, std::uint64_t aSlots = 1)
--- a/tests/rollout_play.cpp
+++ b/tests/rollout_simulation.cpp
@@ -1,4 +1,4 @@
-#include "rollout_play.hpp"
+#include "rollout_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,13 +10,13 @@
 const ServiceId kService{ "lm" };
 constexpr auto kLoadTime = std::chrono::milliseconds(900);
 /// The share of its groups that a trainer waits for.
-constexpr double kAwaited = 0.9;
-constexpr auto kDue = std::chrono::milliseconds(7500);
-constexpr auto kGivenUp = std::chrono::seconds(12);
+constexpr double kAwaitedShare = 0.9;
+constexpr auto kStepDeadline = std::chrono::milliseconds(7500);
+constexpr auto kStepTimeout = std::chrono::seconds(12);
 
 } // namespace
 
-RolloutPlay::RolloutPlay(PlaySetup aSetup)
+RolloutSimulation::RolloutSimulation(SimulationSetup aSetup)
   : setup_(std::move(aSetup))
   , random_(setup_.seed_)
   , plan_(setup_.plan_)
@@ -35,7 +35,7 @@
       upstream.versions_[trainer.model_] = WeightVersion{ 1 };
     }
     upstreams_.push_back(std::move(upstream));
-    Tell(u);
+    PublishEntry(u);
     if (setup_.registerInTurn_) {
       static_cast<void>(plan_.Next(PlanView()));
     }
@@ -43,15 +43,15 @@
 }
 
 std::uint32_t
-RolloutPlay::DrawLength(double aMean)
+RolloutSimulation::DrawLength(double aMean)
 {
   const double base = -aMean * std::log(1.0 - random_.Unit());
   const double scaled = random_.Below(12) == 0 ? base * 5.0 : base;
-  return std::clamp(static_cast<std::uint32_t>(scaled), 3U, setup_.mostEvents_);
+  return std::clamp(static_cast<std::uint32_t>(scaled), 3U, setup_.maxEvents_);
 }
 
 void
-RolloutPlay::Tell(std::size_t aUpstream)
+RolloutSimulation::PublishEntry(std::size_t aUpstream)
 {
   UpstreamEntry entry = upstreams_[aUpstream].entry_;
   for (const auto& [model, version] : upstreams_[aUpstream].versions_) {
@@ -63,7 +63,7 @@
 }
 
 void
-RolloutPlay::Ask(Trainer& aTrainer)
+RolloutSimulation::BeginStep(Trainer& aTrainer)
 {
   if (aTrainer.open_ || now_ < aTrainer.next_ ||
       aTrainer.step_ == setup_.steps_) {
@@ -72,7 +72,7 @@
   const auto index =
     static_cast<std::size_t>(std::stoul(aTrainer.model_.substr(1)));
   const StepSize size = setup_.trainers_[index];
-  const double awaited = kAwaited * static_cast<double>(size.groups_);
+  const double awaited = kAwaitedShare * static_cast<double>(size.groups_);
   JobSpec spec;
   spec.model_ = aTrainer.model_;
   std::vector<Item*> items;
@@ -101,7 +101,7 @@
 }
 
 void
-RolloutPlay::Place(Trainer& aTrainer)
+RolloutSimulation::Place(Trainer& aTrainer)
 {
   const WeightVersion least{ std::max<std::uint64_t>(aTrainer.step_, 1) };
   if (!aTrainer.open_) {
@@ -124,14 +124,14 @@
 }
 
 void
-RolloutPlay::Work(std::size_t aUpstream)
+RolloutSimulation::Advance(std::size_t aUpstream)
 {
   Upstream& upstream = upstreams_[aUpstream];
   if (upstream.loaded_ <= now_) {
     upstream.versions_[upstream.loading_] = upstream.target_;
     upstream.loaded_ = kNever;
     upstream.loading_.clear();
-    Tell(aUpstream);
+    PublishEntry(aUpstream);
   }
   while (upstream.running_.size() < setup_.slots_ && !upstream.queue_.empty()) {
     upstream.running_.push_back(upstream.queue_.front());
@@ -163,7 +163,7 @@
 }
 
 void
-RolloutPlay::Finish(Item& aItem)
+RolloutSimulation::Finish(Item& aItem)
 {
   Trainer& trainer = trainers_[aItem.trainer_];
   if (trainer.open_ && trainer.step_ == aItem.step_) {
@@ -174,25 +174,26 @@
     step.ledger_.OnWhole(aItem.index_, now_);
     if (--step.open_[aItem.group_] == 0 && step.awaited_ > 0) {
       --step.awaited_;
-      outcome_.groupsOnTime_ += now_ - step.asked_ <= Duration{ kDue } ? 1 : 0;
+      result_.groupsOnTime_ +=
+        now_ - step.begun_ <= Duration{ kStepDeadline } ? 1 : 0;
     }
   }
 }
 
 void
-RolloutPlay::EndStep(Trainer& aTrainer)
+RolloutSimulation::EndStep(Trainer& aTrainer)
 {
   if (!aTrainer.open_) {
     return;
   }
-  const Duration taken = now_ - aTrainer.open_->asked_;
-  if (aTrainer.open_->awaited_ > 0 && taken < Duration{ kGivenUp }) {
+  const Duration taken = now_ - aTrainer.open_->begun_;
+  if (aTrainer.open_->awaited_ > 0 && taken < Duration{ kStepTimeout }) {
     return;
   }
-  ++outcome_.steps_;
-  outcome_.onTime_ += taken <= Duration{ kDue } ? 1 : 0;
-  outcome_.meanStep_ += taken;
-  outcome_.longestStep_ = std::max(outcome_.longestStep_, taken);
+  ++result_.steps_;
+  result_.onTime_ += taken <= Duration{ kStepDeadline } ? 1 : 0;
+  result_.meanStep_ += taken;
+  result_.longestStep_ = std::max(result_.longestStep_, taken);
   // The trainer ends the step: what still runs is broken off.
   for (Upstream& upstream : upstreams_) {
     const auto ended = [&](const Item* aItem) {
@@ -215,11 +216,12 @@
 }
 
 void
-RolloutPlay::Load()
+RolloutSimulation::Load()
 {
   for (const Trainer& trainer : trainers_) {
-    if (trainer.open_ && trainer.open_->asked_ == now_) {
-      plan_.OnNamed(trainer.model_, WeightVersion{ trainer.step_ + 1 }, now_);
+    if (trainer.open_ && trainer.open_->begun_ == now_) {
+      plan_.OnVersionAnnounced(
+        trainer.model_, WeightVersion{ trainer.step_ + 1 }, now_);
     }
   }
   for (const PlannedLoad& load : plan_.Next(PlanView())) {
@@ -227,12 +229,12 @@
     upstream.loading_ = load.model_;
     upstream.target_ = load.version_;
     upstream.loaded_ = now_ + Duration{ kLoadTime };
-    ++outcome_.loads_;
+    ++result_.loads_;
   }
 }
 
 std::vector<PlanUpstream>
-RolloutPlay::PlanView() const
+RolloutSimulation::PlanView() const
 {
   std::vector<PlanUpstream> upstreams;
   for (std::size_t u = 0; u < upstreams_.size(); ++u) {
@@ -246,31 +248,31 @@
   return upstreams;
 }
 
-PlayOutcome
-RolloutPlay::Run()
+SimulationResult
+RolloutSimulation::Run()
 {
-  const auto over = [this] {
+  const auto finished = [this] {
     return std::all_of(
       trainers_.begin(), trainers_.end(), [this](const Trainer& aTrainer) {
         return aTrainer.step_ == setup_.steps_;
       });
   };
-  while (!over()) {
+  while (!finished()) {
     for (Trainer& trainer : trainers_) {
       EndStep(trainer);
-      Ask(trainer);
+      BeginStep(trainer);
     }
     Load();
     for (Trainer& trainer : trainers_) {
       Place(trainer);
     }
     for (std::size_t u = 0; u < upstreams_.size(); ++u) {
-      Work(u);
+      Advance(u);
     }
     now_ = now_ + kTick;
   }
-  outcome_.meanStep_ /= static_cast<std::int64_t>(outcome_.steps_);
-  return outcome_;
+  result_.meanStep_ /= static_cast<std::int64_t>(result_.steps_);
+  return result_;
 }
 
 } // namespace marjoramtally::test
--- a/tests/rollout_play.hpp
+++ b/tests/rollout_simulation.hpp
@@ -22,7 +22,7 @@
 };
 
 /// The fleet and the load.
-struct PlaySetup
+struct SimulationSetup
 {
   std::size_t upstreams_ = 8;
   std::size_t zones_ = 3;
@@ -36,7 +36,7 @@
   /// run makes it.
   double eventMillis_ = 25.0;
   double slowdownOfRun_ = 0.035;
-  std::uint32_t mostEvents_ = 176;
+  std::uint32_t maxEvents_ = 176;
   /// The plan sees the upstreams one after the other, not all at once.
   bool registerInTurn_ = false;
   WeightPlanPolicy plan_;
@@ -45,7 +45,7 @@
 };
 
 /// What the trainers got.
-struct PlayOutcome
+struct SimulationResult
 {
   std::size_t steps_ = 0;
   /// Steps whose awaited groups were whole within 7.5 s.
@@ -59,11 +59,11 @@
 };
 
 /// One play. Advances in ticks of 10 ms.
-class RolloutPlay
+class RolloutSimulation
 {
 public:
-  explicit RolloutPlay(PlaySetup aSetup);
-  [[nodiscard]] PlayOutcome Run();
+  explicit RolloutSimulation(SimulationSetup aSetup);
+  [[nodiscard]] SimulationResult Run();
 
 private:
   struct Item
@@ -78,7 +78,7 @@
   };
   struct Step
   {
-    TimePoint asked_;
+    TimePoint begun_;
     JobLedger ledger_;
     std::vector<Item*> items_;
     /// Items of each group that are not whole.
@@ -108,24 +108,24 @@
   static constexpr Duration kTick{ 10000 };
   static constexpr std::size_t kNowhere = SIZE_MAX;
 
-  void Ask(Trainer& aTrainer);
+  void BeginStep(Trainer& aTrainer);
   void Place(Trainer& aTrainer);
-  void Work(std::size_t aUpstream);
+  void Advance(std::size_t aUpstream);
   void Finish(Item& aItem);
   void EndStep(Trainer& aTrainer);
   void Load();
   [[nodiscard]] std::vector<PlanUpstream> PlanView() const;
-  void Tell(std::size_t aUpstream);
+  void PublishEntry(std::size_t aUpstream);
   [[nodiscard]] std::uint32_t DrawLength(double aMean);
 
-  PlaySetup setup_;
+  SimulationSetup setup_;
   Random random_;
   WeightPlan plan_;
   TimePoint now_{ kTick };
   std::vector<Upstream> upstreams_;
   std::deque<Trainer> trainers_;
   std::deque<Item> items_;
-  PlayOutcome outcome_;
+  SimulationResult result_;
 };
 
 } // namespace marjoramtally::test
--- a/tests/test_load_limit.cpp
+++ b/tests/test_load_limit.cpp
@@ -11,9 +11,9 @@
 
 /// A store of weights that bears some loads at once; with more, each takes
 /// longer. As many loads as may be are always under way.
-struct WeightStorePlay
+struct WeightStoreSimulation
 {
-  std::uint32_t bears_ = 9;
+  std::uint32_t capacity_ = 9;
   LoadLimit limit_{ 2 };
   std::uint32_t first_ = 18;
 
@@ -35,10 +35,10 @@
           ++count;
         }
       }
-      if (loads.size() < limit_.AtOnce(first_)) {
+      if (loads.size() < limit_.LimitFor(first_)) {
         const auto busy = static_cast<std::int64_t>(loads.size() + 1);
         loads.emplace_back(
-          now, std::max<Duration>(1s, 1s * busy / std::int64_t{ bears_ }));
+          now, std::max<Duration>(1s, 1s * busy / std::int64_t{ capacity_ }));
       }
     }
     return sum / std::max<std::int64_t>(count, 1);
@@ -59,10 +59,10 @@
     double share_ = 0;
   };
 
-  std::uint32_t bears_ = 9;
+  std::uint32_t capacity_ = 9;
   std::uint32_t first_ = 419;
   /// Loads that are wanted anew each second; 0: always as many as may be.
-  std::size_t wantedEach_ = 0;
+  std::size_t wantedPerSecond_ = 0;
   std::size_t wanted_ = 0;
   /// Loads keep the share of the rate that they began with.
   bool keepShares_ = false;
@@ -80,10 +80,10 @@
     longest_ = Duration{ 0 };
     for (const TimePoint end = now_ + aTime; now_ < end; now_ = now_ + kStep) {
       Advance();
-      largest_ = std::max(largest_, limit_.AtOnce(first_));
-      wanted_ += now_.sinceStart_ % 1s == 0s ? wantedEach_ : 0;
-      while (loads_.size() < limit_.AtOnce(first_) &&
-             (wantedEach_ == 0 || wanted_ > 0)) {
+      largest_ = std::max(largest_, limit_.LimitFor(first_));
+      wanted_ += now_.sinceStart_ % 1s == 0s ? wantedPerSecond_ : 0;
+      while (loads_.size() < limit_.LimitFor(first_) &&
+             (wantedPerSecond_ == 0 || wanted_ > 0)) {
         loads_.push_back({ now_ });
         loads_.back().share_ = keepShares_ ? Share() : 0;
         wanted_ -= wanted_ > 0 ? 1 : 0;
@@ -95,7 +95,7 @@
   [[nodiscard]] double Share() const
   {
     return std::min(
-      1.0, static_cast<double>(bears_) / static_cast<double>(loads_.size()));
+      1.0, static_cast<double>(capacity_) / static_cast<double>(loads_.size()));
   }
 
   void Advance()
@@ -125,26 +125,26 @@
 TEST_CASE("as long as no load has ended, a small first guess holds")
 {
   LoadLimit limit(2);
-  REQUIRE(limit.AtOnce(8) == 8);
-  REQUIRE(limit.AtOnce(5) == 5);
-  REQUIRE(limit.AtOnce(0) == 2);
+  REQUIRE(limit.LimitFor(8) == 8);
+  REQUIRE(limit.LimitFor(5) == 5);
+  REQUIRE(limit.LimitFor(0) == 2);
 }
 
 TEST_CASE(
   "a larger first guess is reached once loads are seen not to be slowed")
 {
   LoadLimit limit(2);
-  REQUIRE(limit.AtOnce(18) == 8);
+  REQUIRE(limit.LimitFor(18) == 8);
   TimePoint now{ 1s };
   // All end at once, and as many begin.
   const auto endLoads = [&](Duration aTook) {
     now = now + aTook;
-    const std::uint32_t count = limit.AtOnce(18);
+    const std::uint32_t count = limit.LimitFor(18);
     limit.OnInProgress(count, now - aTook);
     for (std::uint32_t i = 0; i < count; ++i) {
       limit.OnLoaded(aTook, count, now);
     }
-    return limit.AtOnce(18);
+    return limit.LimitFor(18);
   };
   REQUIRE(endLoads(1s) == 16);
   REQUIRE(endLoads(1s) == 18);
@@ -156,30 +156,30 @@
 // loads of 1.8 s each in place of 9 of 0.9 s.
 TEST_CASE("more loads than the store of weights bears are not kept up")
 {
-  WeightStorePlay play;
-  REQUIRE(play.Run(30s) <= 1350ms);
-  REQUIRE(play.limit_.AtOnce(18) >= 6);
+  WeightStoreSimulation simulation;
+  REQUIRE(simulation.Run(30s) <= 1350ms);
+  REQUIRE(simulation.limit_.LimitFor(18) >= 6);
 }
 
 TEST_CASE("a store that bears more is found out")
 {
-  WeightStorePlay play;
-  play.first_ = 3;
-  REQUIRE(play.Run(60s) <= 1350ms);
-  REQUIRE(play.limit_.AtOnce(3) >= 8);
+  WeightStoreSimulation simulation;
+  simulation.first_ = 3;
+  REQUIRE(simulation.Run(60s) <= 1350ms);
+  REQUIRE(simulation.limit_.LimitFor(3) >= 8);
 }
 
 TEST_CASE("the limit keeps above its least")
 {
   LoadLimit limit(2);
-  static_cast<void>(limit.AtOnce(3));
+  static_cast<void>(limit.LimitFor(3));
   TimePoint now{ 1s };
   limit.OnLoaded(1s, 1, now);
   for (int i = 0; i < 50; ++i) {
     now = now + 5s;
     limit.OnLoaded(4s, 3, now);
   }
-  REQUIRE(limit.AtOnce(3) == 2);
+  REQUIRE(limit.LimitFor(3) == 2);
 }
 
 // A fifth of 2,095 upstreams was told to load at once, which the store bore 9
@@ -200,9 +200,9 @@
 TEST_CASE("a store that bears the first guess is used within some seconds")
 {
   SharedWeightStore store;
-  store.bears_ = 430;
+  store.capacity_ = 430;
   store.Run(10s);
-  REQUIRE(store.limit_.AtOnce(419) >= 300);
+  REQUIRE(store.limit_.LimitFor(419) >= 300);
   store.Run(20s);
   REQUIRE(store.longest_ <= 1500ms);
 }
@@ -213,39 +213,39 @@
 TEST_CASE("the limit does not run away with bursts that use it up for a moment")
 {
   SharedWeightStore store;
-  store.bears_ = 20;
-  store.wantedEach_ = GENERATE(0, 10, 15, 20, 25, 30);
+  store.capacity_ = 20;
+  store.wantedPerSecond_ = GENERATE(0, 10, 15, 20, 25, 30);
   store.keepShares_ = GENERATE(false, true);
   store.Run(60s);
-  CAPTURE(store.wantedEach_, store.keepShares_);
-  REQUIRE(store.largest_ <= 2 * store.bears_);
+  CAPTURE(store.wantedPerSecond_, store.keepShares_);
+  REQUIRE(store.largest_ <= 2 * store.capacity_);
 }
 
 TEST_CASE("loads that are slowed are seen however long others were not")
 {
   LoadLimit limit(2);
-  const std::uint32_t first = limit.AtOnce(8);
+  const std::uint32_t first = limit.LimitFor(8);
   TimePoint now{ 1s };
   for (int i = 0; i < 10'000; ++i) {
     now = now + 1s;
     limit.OnLoaded(1s, 1, now);
   }
-  REQUIRE(limit.AtOnce(8) == first);
+  REQUIRE(limit.LimitFor(8) == first);
   for (std::uint32_t i = 0; i < 6 * first; ++i) {
     now = now + 1s;
     limit.OnLoaded(2s, first - 2, now);
   }
-  REQUIRE(limit.AtOnce(8) <= first / 2);
+  REQUIRE(limit.LimitFor(8) <= first / 2);
 }
 
 TEST_CASE("single upstreams that load slowly do not shrink the limit")
 {
   LoadLimit limit(2);
-  const std::uint32_t first = limit.AtOnce(8);
+  const std::uint32_t first = limit.LimitFor(8);
   TimePoint now{ 1s };
   for (int i = 0; i < 100; ++i) {
     now = now + 500ms;
     limit.OnLoaded(i % 4 == 0 ? 4s : 1s, first, now);
   }
-  REQUIRE(limit.AtOnce(8) >= first);
+  REQUIRE(limit.LimitFor(8) >= first);
 }
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -35,13 +35,13 @@
     held.push_back(aOrder);
     return aEngine.Take(aOrder);
   };
-  owner.rollout_.Lose(kEngine);
+  owner.rollout_.OnLost(kEngine);
   owner.Own(kEngine, engine, 2);
   owner.Want(2);
   owner.Run(3s);
   REQUIRE(engine.Served() == 2);
   const SendOrder old = held.front();
-  owner.rollout_.Lose(kEngine);
+  owner.rollout_.OnLost(kEngine);
   owner.Own(kEngine, engine, 3);
   // The announcement of the new term is under way when the old end comes.
   owner.rollout_.OnLease(owner.now_ + 10s);
--- a/tests/test_rollout_play.cpp
+++ b/tests/test_rollout_simulation.cpp
@@ -1,6 +1,6 @@
 /// Training steps played on a fleet: what trainers get by which policy.
 
-#include "rollout_play.hpp"
+#include "rollout_simulation.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -11,19 +11,19 @@
 namespace {
 
 /// The same play under several seeds, added up.
-PlayOutcome
-PlaySeeds(PlaySetup aSetup, std::int64_t aSeeds = 10)
+SimulationResult
+SimulateSeeds(SimulationSetup aSetup, std::int64_t aSeeds = 10)
 {
-  PlayOutcome sum;
+  SimulationResult sum;
   for (std::int64_t seed = 1; seed <= aSeeds; ++seed) {
     aSetup.seed_ = static_cast<std::uint64_t>(seed);
-    const PlayOutcome outcome = RolloutPlay(aSetup).Run();
-    sum.steps_ += outcome.steps_;
-    sum.onTime_ += outcome.onTime_;
-    sum.meanStep_ += outcome.meanStep_ / aSeeds;
-    sum.longestStep_ = std::max(sum.longestStep_, outcome.longestStep_);
-    sum.groupsOnTime_ += outcome.groupsOnTime_;
-    sum.loads_ += outcome.loads_;
+    const SimulationResult result = RolloutSimulation(aSetup).Run();
+    sum.steps_ += result.steps_;
+    sum.onTime_ += result.onTime_;
+    sum.meanStep_ += result.meanStep_ / aSeeds;
+    sum.longestStep_ = std::max(sum.longestStep_, result.longestStep_);
+    sum.groupsOnTime_ += result.groupsOnTime_;
+    sum.loads_ += result.loads_;
   }
   return sum;
 }
@@ -38,10 +38,10 @@
 
 TEST_CASE("shared homes make steps whole sooner for few more loads")
 {
-  PlaySetup setup;
-  const PlayOutcome shared = PlaySeeds(setup);
-  setup.plan_.mostHomes_ = 1.0;
-  const PlayOutcome apart = PlaySeeds(setup);
+  SimulationSetup setup;
+  const SimulationResult shared = SimulateSeeds(setup);
+  setup.plan_.maxReplicasPerUpstream_ = 1.0;
+  const SimulationResult apart = SimulateSeeds(setup);
   WARN("mean step " << Seconds(apart.meanStep_) << " s with one home, "
                     << Seconds(shared.meanStep_) << " s with 1.5; loads "
                     << apart.loads_ << " and " << shared.loads_);
@@ -52,12 +52,12 @@
 TEST_CASE(
   "short of upstreams, finishing groups in turn makes more of them whole")
 {
-  PlaySetup setup;
+  SimulationSetup setup;
   setup.upstreams_ = 3;
   setup.trainers_ = { { 15, 8 }, { 30, 4 }, { 18, 4 } };
-  const PlayOutcome inTurn = PlaySeeds(setup);
+  const SimulationResult inTurn = SimulateSeeds(setup);
   setup.job_.shortOfPlaces_ = std::chrono::hours(1);
-  const PlayOutcome longestFirst = PlaySeeds(setup);
+  const SimulationResult longestFirst = SimulateSeeds(setup);
   WARN("groups on time: " << longestFirst.groupsOnTime_
                           << " with the longest items first, "
                           << inTurn.groupsOnTime_ << " in turn; steps "
@@ -71,16 +71,16 @@
 /// Eight trainers on 77 upstreams of six places. An event takes 70 ms with one
 /// run and 74 ms with six; steps hold 80 to 128 items of 6 to 13 events in the
 /// mean and 93 at most.
-PlaySetup
+SimulationSetup
 LargeFleet()
 {
-  PlaySetup setup;
+  SimulationSetup setup;
   setup.upstreams_ = 77;
   setup.zones_ = 5;
   setup.slots_ = 6;
   setup.eventMillis_ = 70.0;
   setup.slowdownOfRun_ = 0.011;
-  setup.mostEvents_ = 93;
+  setup.maxEvents_ = 93;
   setup.trainTime_ = std::chrono::milliseconds(500);
   setup.trainers_ = { { 14, 8, 9.75 }, { 5, 16, 6.75 }, { 13, 8, 9.75 },
                       { 8, 16, 8.25 }, { 6, 16, 4.5 },  { 8, 16, 8.25 },
@@ -93,10 +93,10 @@
 TEST_CASE("steps are whole as soon on upstreams that registered in turn")
 {
   constexpr std::int64_t kSeeds = 2;
-  PlaySetup setup = LargeFleet();
-  const PlayOutcome together = PlaySeeds(setup, kSeeds);
+  SimulationSetup setup = LargeFleet();
+  const SimulationResult together = SimulateSeeds(setup, kSeeds);
   setup.registerInTurn_ = true;
-  const PlayOutcome inTurn = PlaySeeds(setup, kSeeds);
+  const SimulationResult inTurn = SimulateSeeds(setup, kSeeds);
   WARN("mean step " << Seconds(together.meanStep_) << " s, in turn "
                     << Seconds(inTurn.meanStep_) << " s; on time "
                     << together.onTime_ << " and " << inTurn.onTime_ << " of "
--- a/tests/test_supply.cpp
+++ b/tests/test_supply.cpp
@@ -43,7 +43,7 @@
 {
   std::map<ZoneId, std::uint32_t> counts;
   for (const PlannedSupply& order : aOrders) {
-    counts[order.place_.zone_] = order.count_;
+    counts[order.pool_.zone_] = order.count_;
   }
   return counts;
 }
@@ -115,8 +115,8 @@
   plan.OnDemand(kModel, 60, kBegin);
   for (const PlannedSupply& order : plan.Next(View(3, 3), kBegin)) {
     plan.OnEnd(order,
-               order.place_.zone_ == kOne ? SupplyEnd::Unavailable
-                                          : SupplyEnd::Accepted,
+               order.pool_.zone_ == kOne ? SupplyEnd::Unavailable
+                                         : SupplyEnd::Accepted,
                kBegin);
   }
   // What the first zone lacks is ordered in the second.
@@ -162,7 +162,7 @@
   REQUIRE(plan.Next(View(3, 7), kBegin + 8s).empty());
   const auto again = plan.Next(View(3, 7), kBegin + 9s);
   REQUIRE(Counts(again) == std::map<ZoneId, std::uint32_t>{ { kOne, 6 } });
-  REQUIRE(again.front().why_ == "fewer serve than were ordered");
+  REQUIRE(again.front().reason_ == "fewer serve than were ordered");
 }
 
 TEST_CASE("a later holder does not order less than its predecessor did")
@@ -182,7 +182,7 @@
   plan.OnDemand(kModel, 1000, kBegin);
   std::map<std::pair<ZoneId, bool>, std::uint32_t> counts;
   for (const PlannedSupply& order : plan.Next(View(4, 2), kBegin)) {
-    counts[{ order.place_.zone_, order.place_.spot_ }] = order.count_;
+    counts[{ order.pool_.zone_, order.pool_.spot_ }] = order.count_;
   }
   REQUIRE(counts[{ kOne, false }] == 7);
   REQUIRE(counts[{ kOne, true }] == 3);
@@ -267,13 +267,13 @@
 TEST_CASE("steps that begin together find places when bursts are remembered")
 {
   SupplyPolicy none;
-  none.beforeDemand_ = 1.0;
+  none.initialFactor_ = 1.0;
   none.headroom_ = 0.0;
   SupplyPolicy use;
-  use.beforeDemand_ = 1.0;
+  use.initialFactor_ = 1.0;
   use.headroom_ = 1.0;
-  use.memory_ = 1s;
-  use.lowerAfter_ = 2s;
+  use.demandWindow_ = 1s;
+  use.scaleDownDelay_ = 2s;
   StepPlay standing(none);
   StepPlay byUse(use);
   StepPlay byBursts({});
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -37,9 +37,9 @@
 TEST_CASE("requests count in the window of true time in which they began")
 {
   UsageMeter meter;
-  meter.OnBegun(kNorth, TimePoint{ 100s });
-  meter.OnBegun(kNorth, TimePoint{ 100s + 990ms });
-  meter.OnBegun(kSouth, TimePoint{ 101s + 10ms });
+  meter.OnRequestStarted(kNorth, TimePoint{ 100s });
+  meter.OnRequestStarted(kNorth, TimePoint{ 100s + 990ms });
+  meter.OnRequestStarted(kSouth, TimePoint{ 101s + 10ms });
   // The monotonic clock's 103 s are 1003 s of true time: windows end at
   // multiples of 5 s, so at 1000 s, which is 100 s there.
   const auto counts = meter.Counts(TimePoint{ 103s }, At(1003s), 5s);
@@ -55,8 +55,8 @@
 TEST_CASE("counts are forgotten when nobody can ask for them any more")
 {
   UsageMeter meter;
-  meter.OnBegun(kNorth, TimePoint{ 100s });
-  meter.OnBegun(kSouth, TimePoint{ 161s });
+  meter.OnRequestStarted(kNorth, TimePoint{ 100s });
+  meter.OnRequestStarted(kSouth, TimePoint{ 161s });
   const auto counts = meter.Counts(TimePoint{ 161s }, At(161s), 5s);
   REQUIRE(counts.size() == 1);
   REQUIRE(counts.at(32).at(kSouth) == 1);
@@ -64,37 +64,37 @@
 
 TEST_CASE("the true time is what most clocks say")
 {
-  REQUIRE(MedianAhead({}) == 0s);
-  REQUIRE(MedianAhead({ 1ms, 2s, -1ms, 0ms, 2s, 2ms, -5s }) == 1ms);
+  REQUIRE(MedianClockAhead({}) == 0s);
+  REQUIRE(MedianClockAhead({ 1ms, 2s, -1ms, 0ms, 2s, 2ms, -5s }) == 1ms);
 }
 
 TEST_CASE("messages of use come back as they were")
 {
   GatewayUsage usage;
   usage.incarnation_ = "g-1~7";
-  usage.ahead_ = -3ms;
+  usage.clockAhead_ = -3ms;
   usage.counts_ = { { 7, { { kNorth, 2 } } } };
   usage.demand_[ServiceId{ "lm" }] = 128;
   usage.modelDemand_["m"] = 120;
   usage.longRuns_[UpstreamId{ "u1" }] = 2;
-  const auto back = DecodeUsageAnswer(EncodeUsageAnswer({ usage, {} }));
+  const auto back = DecodeUsageReply(EncodeUsageReply({ usage, {} }));
   REQUIRE(back);
   REQUIRE(back.value().size() == 2);
   const GatewayUsage& read = back.value().front();
   REQUIRE(read.incarnation_ == "g-1~7");
-  REQUIRE(read.ahead_ == -3ms);
+  REQUIRE(read.clockAhead_ == -3ms);
   REQUIRE(read.counts_ == usage.counts_);
   REQUIRE(read.demand_ == usage.demand_);
   REQUIRE(read.modelDemand_ == usage.modelDemand_);
   REQUIRE(read.longRuns_ == usage.longRuns_);
   const auto ask =
-    DecodeUsageAsk(EncodeUsageAsk({ At(12s), 5s, { "a:1", "b:2" } }));
+    DecodeUsageRequest(EncodeUsageRequest({ At(12s), 5s, { "a:1", "b:2" } }));
   REQUIRE(ask);
   REQUIRE(ask.value().now_ == At(12s));
   REQUIRE(ask.value().others_ == std::vector<std::string>{ "a:1", "b:2" });
-  REQUIRE_FALSE(DecodeUsageAsk(EncodeUsageAsk({ At(12s), 0s, {} })));
-  REQUIRE_FALSE(DecodeUsageAsk(EncodeUsageAsk({ At(-1s), 5s, {} })));
-  REQUIRE_FALSE(DecodeUsageAsk("x"));
+  REQUIRE_FALSE(DecodeUsageRequest(EncodeUsageRequest({ At(12s), 0s, {} })));
+  REQUIRE_FALSE(DecodeUsageRequest(EncodeUsageRequest({ At(-1s), 5s, {} })));
+  REQUIRE_FALSE(DecodeUsageRequest("x"));
 }
 
 TEST_CASE("settled windows come back as they were")
@@ -110,7 +110,7 @@
 
 TEST_CASE("a window is settled when all gateways told what began in it")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({}, At(101s));
   const std::set<std::string> both{ "g1", "g2" };
   book.OnUsage(Told("g1", { { 20, { { kNorth, 2 } } } }), At(107s));
@@ -130,7 +130,7 @@
 
 TEST_CASE("a gateway that is gone counts with what it told last")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({}, At(101s));
   book.OnUsage(Told("g1", { { 20, { { kNorth, 2 } } } }), At(104s));
   book.OnUsage(Told("g1-again", { { 20, { { kNorth, 1 } } } }), At(107s));
@@ -140,7 +140,7 @@
 
 TEST_CASE("a gateway that does not tell holds a window up only so long")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({}, At(101s));
   const std::set<std::string> both{ "g1", "silent" };
   book.OnUsage(Told("g1", {}), At(110s));
@@ -150,7 +150,7 @@
 
 TEST_CASE("a later holder goes on after the windows settled before it")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({ { 18, { { { kNorth, 1 } }, true } },
                { 19, { { { kNorth, 2 } }, false } } },
              At(113s));
@@ -164,22 +164,22 @@
 
 TEST_CASE("a holder after a long time bills nothing that nobody counted")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({ { 18, { {}, true } } }, At(1003s));
   REQUIRE(book.NextDue(At(1003s), {}) == 188U);
 }
 
 TEST_CASE("old windows are dropped once they were sent")
 {
-  UsageBook book({ 5s, 10s, 2s, 0.7 });
+  UsageLedger book({ 5s, 10s, 2s, 0.7 });
   book.Begin({}, At(0s));
   for (UsageWindow window = 0; window < 15; ++window) {
     book.OnSettled(window, {});
   }
-  REQUIRE(book.TakeOld().empty());
+  REQUIRE(book.TakeObsolete().empty());
   book.OnSent(0);
   book.OnSent(1);
-  REQUIRE(book.TakeOld() == std::vector<UsageWindow>{ 0, 1 });
+  REQUIRE(book.TakeObsolete() == std::vector<UsageWindow>{ 0, 1 });
 }
 
 namespace {
@@ -229,11 +229,11 @@
     if (silent_) {
       aDone(Error{ ErrorKind::Timeout, "no answer" });
     } else {
-      const auto ask = DecodeUsageAsk(aCall.body_);
+      const auto ask = DecodeUsageRequest(aCall.body_);
       REQUIRE(ask);
-      usage_.ahead_ =
+      usage_.clockAhead_ =
         clock_->Now() - TimePoint{} + shift_ - ask.value().now_.sinceEpoch_;
-      aDone(EncodeUsageAnswer({ usage_ }));
+      aDone(EncodeUsageReply({ usage_ }));
     }
   }
   void Serve(RpcTopic, RpcHandler) override {}
--- a/tests/test_weight_demand.cpp
+++ b/tests/test_weight_demand.cpp
@@ -12,7 +12,7 @@
 constexpr TimePoint kStart{ std::chrono::seconds(100) };
 
 /// Trainers that name a version each 4 s, in turn, before a fleet.
-struct DemandPlay
+struct DemandSimulation
 {
   static constexpr int kModels = 4;
   static constexpr std::uint64_t kBurst = 240;
@@ -23,17 +23,17 @@
 
   WeightPlan plan_;
   std::vector<PlanUpstream> fleet_;
-  std::map<UpstreamId, std::size_t> places_;
+  std::map<UpstreamId, std::size_t> indexes_;
   std::map<std::size_t, std::pair<PlannedLoad, int>> loading_;
   std::size_t loads_ = 0;
 
-  explicit DemandPlay(int aUpstreams)
+  explicit DemandSimulation(int aUpstreams)
     : fleet_(MakeFleet(aUpstreams, kModels))
   {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
       fleet_[i].slots_ = kSlots;
       fleet_[i].zone_ = ZoneId{ "z" + std::to_string(i % 3) };
-      places_[fleet_[i].id_] = i;
+      indexes_[fleet_[i].id_] = i;
     }
   }
 
@@ -46,7 +46,7 @@
         plan_.OnDemand(name, kBurst, now);
       }
       if (aTick % kVersionTicks == 10 * model) {
-        plan_.OnNamed(name, NewestAt(aTick, model), now);
+        plan_.OnVersionAnnounced(name, NewestAt(aTick, model), now);
       }
     }
     for (auto it = loading_.begin(); it != loading_.end();) {
@@ -64,9 +64,9 @@
     const std::vector<PlannedLoad> loads = plan_.Next(fleet_);
     plan_.OnOrdered(now);
     for (const PlannedLoad& load : loads) {
-      const std::size_t place = places_.at(load.upstream_);
-      fleet_[place].busy_ = true;
-      loading_[place] = { load, aTick + kLoadTicks };
+      const std::size_t index = indexes_.at(load.upstream_);
+      fleet_[index].busy_ = true;
+      loading_[index] = { load, aTick + kLoadTicks };
       ++loads_;
     }
   }
@@ -78,18 +78,18 @@
   }
 
   /// @returns places that may serve the newest step of a model
-  [[nodiscard]] std::uint64_t Places(int aTick,
-                                     int aModel,
-                                     const ZoneId& aLost) const
+  [[nodiscard]] std::uint64_t UsableSlots(int aTick,
+                                          int aModel,
+                                          const ZoneId& aLost) const
   {
-    std::uint64_t places = 0;
+    std::uint64_t slots = 0;
     for (const PlanUpstream& upstream : fleet_) {
       const WeightVersion held =
         upstream.versions_.at("m" + std::to_string(aModel));
       const bool fits = held.Get() + 1 >= NewestAt(aTick, aModel).Get();
-      places += fits && upstream.zone_ != aLost ? kSlots : 0;
+      slots += fits && upstream.zone_ != aLost ? kSlots : 0;
     }
-    return places;
+    return slots;
   }
 };
 
@@ -102,11 +102,11 @@
 {
   constexpr int kTicks = 400;
   const auto loadsOf = [](int aUpstreams) {
-    DemandPlay play(aUpstreams);
+    DemandSimulation simulation(aUpstreams);
     for (int tick = 0; tick < kTicks; ++tick) {
-      play.Tick(tick);
+      simulation.Tick(tick);
     }
-    return play.loads_;
+    return simulation.loads_;
   };
   const std::size_t few = loadsOf(600);
   const std::size_t many = loadsOf(3000);
@@ -114,22 +114,22 @@
   REQUIRE(many <= few + few / 5);
 }
 
-TEST_CASE("a burst finds its places whichever zone is lost")
+TEST_CASE("a burst finds its slots whichever zone is lost")
 {
   const int upstreams = GENERATE(600, 3000);
   const int lost = GENERATE(0, 1, 2);
-  DemandPlay play(upstreams);
+  DemandSimulation simulation(upstreams);
   // Ten versions, the first of which every upstream can serve.
-  for (int tick = 0; tick < 10 * DemandPlay::kVersionTicks; ++tick) {
-    play.Tick(tick);
-    for (int model = 0; model < DemandPlay::kModels; ++model) {
+  for (int tick = 0; tick < 10 * DemandSimulation::kVersionTicks; ++tick) {
+    simulation.Tick(tick);
+    for (int model = 0; model < DemandSimulation::kModels; ++model) {
       // Steps are asked a while after their version was named.
-      const int since = (tick - 10 * model) % DemandPlay::kVersionTicks;
-      if (tick >= 10 * model && since > 2 * DemandPlay::kLoadTicks) {
+      const int since = (tick - 10 * model) % DemandSimulation::kVersionTicks;
+      if (tick >= 10 * model && since > 2 * DemandSimulation::kLoadTicks) {
         CAPTURE(tick, model);
-        REQUIRE(
-          play.Places(tick, model, ZoneId{ "z" + std::to_string(lost) }) >=
-          DemandPlay::kBurst);
+        REQUIRE(simulation.UsableSlots(
+                  tick, model, ZoneId{ "z" + std::to_string(lost) }) >=
+                DemandSimulation::kBurst);
       }
     }
   }
--- a/tests/test_weight_plan.cpp
+++ b/tests/test_weight_plan.cpp
@@ -18,9 +18,9 @@
 LoadAll(std::uint32_t aAtOnce)
 {
   WeightPlanPolicy policy;
-  policy.atOnce_ = aAtOnce;
+  policy.minConcurrentLoads_ = aAtOnce;
   policy.newestShare_ = 1.0;
-  policy.mostHomes_ = 1.0;
+  policy.maxReplicasPerUpstream_ = 1.0;
   return policy;
 }
 
@@ -63,7 +63,7 @@
   for (int i = 0; i < 4; ++i) {
     fleet.push_back(MakePlanUpstream(i, 1, 1));
   }
-  plan.OnNamed("a", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
   std::set<UpstreamId> loaded;
   for (int round = 0; round < 4; ++round) {
     for (const PlannedLoad& load : plan.Next(fleet)) {
@@ -78,7 +78,7 @@
   }
   REQUIRE(loaded.size() == 2);
   for (const UpstreamId& id : loaded) {
-    REQUIRE(plan.HomeOf(id) == "a");
+    REQUIRE(plan.FirstModelAt(id) == "a");
   }
 }
 
@@ -89,7 +89,7 @@
   for (int i = 0; i < 8; ++i) {
     fleet.push_back(MakePlanUpstream(i, 1, 1));
   }
-  plan.OnNamed("a", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
   const auto loads = plan.Next(fleet);
   REQUIRE(loads.size() == 2);
   for (PlanUpstream& upstream : fleet) {
@@ -106,24 +106,24 @@
   for (int i = 0; i < 12; ++i) {
     fleet.push_back(MakePlanUpstream(i, 1, 1));
   }
-  plan.OnNamed("a", WeightVersion{ 2 }, kStart);
-  plan.OnNamed("b", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("b", WeightVersion{ 2 }, kStart);
   REQUIRE(plan.Next(fleet).size() == 2);
 }
 
 TEST_CASE("a next holder keeps homes by the versions it finds")
 {
   WeightPlan plan(LoadAll(8));
-  plan.OnNamed("a", WeightVersion{ 9 }, kStart);
-  plan.OnNamed("b", WeightVersion{ 9 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 9 }, kStart);
+  plan.OnVersionAnnounced("b", WeightVersion{ 9 }, kStart);
   std::vector<PlanUpstream> fleet;
   for (int i = 0; i < 4; ++i) {
     fleet.push_back(i % 2 == 0 ? MakePlanUpstream(i, 9, 2)
                                : MakePlanUpstream(i, 2, 9));
   }
   REQUIRE(plan.Next(fleet).empty());
-  REQUIRE(plan.HomeOf(UpstreamId{ "u0" }) == "a");
-  REQUIRE(plan.HomeOf(UpstreamId{ "u1" }) == "b");
+  REQUIRE(plan.FirstModelAt(UpstreamId{ "u0" }) == "a");
+  REQUIRE(plan.FirstModelAt(UpstreamId{ "u1" }) == "b");
 }
 
 TEST_CASE("when upstreams go, a model without any gets one of the others")
@@ -134,8 +134,8 @@
     fleet.push_back(i < 2 ? MakePlanUpstream(i, 9, 2)
                           : MakePlanUpstream(i, 2, 9));
   }
-  plan.OnNamed("a", WeightVersion{ 9 }, kStart);
-  plan.OnNamed("b", WeightVersion{ 9 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 9 }, kStart);
+  plan.OnVersionAnnounced("b", WeightVersion{ 9 }, kStart);
   REQUIRE(plan.Next(fleet).empty());
   fleet.resize(2);
   const auto loads = plan.Next(fleet);
@@ -146,8 +146,8 @@
 TEST_CASE("one upstream for two models is at home for both")
 {
   WeightPlan plan(LoadAll(8));
-  plan.OnNamed("a", WeightVersion{ 2 }, kStart);
-  plan.OnNamed("b", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("b", WeightVersion{ 2 }, kStart);
   std::vector<PlanUpstream> fleet{ MakePlanUpstream(0, 1, 1) };
   std::set<std::string> models;
   for (int round = 0; round < 2; ++round) {
@@ -169,7 +169,7 @@
   }
   std::map<UpstreamId, std::vector<std::uint64_t>> loaded;
   for (std::uint64_t version = 2; version <= 5; ++version) {
-    plan.OnNamed("a", WeightVersion{ version }, kStart);
+    plan.OnVersionAnnounced("a", WeightVersion{ version }, kStart);
     for (int round = 0; round < 6; ++round) {
       for (const PlannedLoad& load : plan.Next(fleet)) {
         loaded[load.upstream_].push_back(load.version_.Get());
@@ -202,9 +202,9 @@
   }
   for (std::uint64_t version = 2; version <= 9; ++version) {
     for (const char* model : { "a", "b", "c" }) {
-      plan.OnNamed(model,
-                   WeightVersion{ version },
-                   kStart + std::chrono::seconds(4 * version));
+      plan.OnVersionAnnounced(model,
+                              WeightVersion{ version },
+                              kStart + std::chrono::seconds(4 * version));
     }
     const std::size_t loads = LoadAllPlanned(plan, fleet);
     // The upstreams over the models, for each of the three versions.
@@ -237,8 +237,8 @@
     fleet.push_back(MakePlanUpstream(i, 1, 1));
     fleet.back().versions_.erase("b");
   }
-  plan.OnNamed("a", WeightVersion{ 2 }, kStart);
-  plan.OnNamed("a", WeightVersion{ 3 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
+  plan.OnVersionAnnounced("a", WeightVersion{ 3 }, kStart);
   LoadAllPlanned(plan, fleet);
   for (const PlanUpstream& upstream : fleet) {
     REQUIRE(upstream.versions_.at("a") == WeightVersion{ 3 });
@@ -270,7 +270,7 @@
   for (std::uint64_t version = 2; version <= kVersions; ++version) {
     for (const auto& [model, held] : fleet.front().versions_) {
       const auto second = static_cast<std::int64_t>(version) * period;
-      plan.OnNamed(
+      plan.OnVersionAnnounced(
         model, WeightVersion{ version }, kStart + std::chrono::seconds(second));
     }
     LoadAllPlanned(plan, fleet);
@@ -323,9 +323,10 @@
     const TimePoint now = kStart + std::chrono::milliseconds(100 * tick);
     for (int model = 0; model < 8; ++model) {
       if (tick % 40 == 5 * model) {
-        plan.OnNamed("m" + std::to_string(model),
-                     WeightVersion{ 2 + static_cast<unsigned>(tick) / 40 },
-                     now);
+        plan.OnVersionAnnounced(
+          "m" + std::to_string(model),
+          WeightVersion{ 2 + static_cast<unsigned>(tick) / 40 },
+          now);
       }
     }
     for (PlanUpstream& upstream : fleet) {
@@ -363,15 +364,16 @@
   WeightPlan plan;
   const std::vector<PlanUpstream> fleet = MakeFleet(upstreams, kModels);
   for (int model = 0; model < kModels; ++model) {
-    plan.OnNamed("m" + std::to_string(model), WeightVersion{ 2 }, kStart);
+    plan.OnVersionAnnounced(
+      "m" + std::to_string(model), WeightVersion{ 2 }, kStart);
   }
   // A few looks at each upstream for each model.
   constexpr std::uint64_t kMostLooks = 4;
   const std::uint64_t bound = kMostLooks * kModels * fleet.size();
   REQUIRE_FALSE(plan.Next(fleet).empty());
-  REQUIRE(plan.Looks() <= bound);
+  REQUIRE(plan.ExaminedCandidates() <= bound);
   REQUIRE_FALSE(plan.Next(fleet).empty());
-  REQUIRE(plan.Looks() <= bound);
+  REQUIRE(plan.ExaminedCandidates() <= bound);
 }
 
 // A step waits for its longest text, which a load at its upstream holds up by
@@ -388,14 +390,16 @@
     upstream.longRuns_ = i < 6 ? 1 : 0;
     upstreams.push_back(upstream);
   }
-  plan.OnNamed("m", WeightVersion{ 2 }, TimePoint{ std::chrono::seconds(1) });
+  plan.OnVersionAnnounced(
+    "m", WeightVersion{ 2 }, TimePoint{ std::chrono::seconds(1) });
   const auto loads = plan.Next(upstreams);
   REQUIRE(loads.size() == 2);
   for (const PlannedLoad& load : loads) {
     REQUIRE(load.upstream_ >= UpstreamId{ "u16" });
   }
   // Two versions behind, an upstream serves no step, whatever runs there.
-  plan.OnNamed("m", WeightVersion{ 3 }, TimePoint{ std::chrono::seconds(5) });
+  plan.OnVersionAnnounced(
+    "m", WeightVersion{ 3 }, TimePoint{ std::chrono::seconds(5) });
   for (std::size_t i = 6; i < upstreams.size(); ++i) {
     upstreams[i].versions_["m"] = WeightVersion{ 2 };
   }
