--- a/include/marjoramtally/process.hpp
+++ b/include/marjoramtally/process.hpp
@@ -1,4 +1,4 @@
-/// Public header of the process library: decisions that live as long as a
+/// Public header of the process library: components that live as long as a
 /// process.
 #pragma once
 
--- a/include/marjoramtally/process/load_limit.hpp
+++ b/include/marjoramtally/process/load_limit.hpp
@@ -1,11 +1,12 @@
-/// How many upstreams may load weights at the same time.
+/// Limits how many upstreams load weights at the same time.
 ///
-/// The store of weights bears some loads at once; with more, each takes longer
-/// and holds the runs of its upstream up for as long. Upstreams that were added
-/// do not make it faster, so the limit follows what loads take, as congestion
-/// control does: it begins low and grows fast while loads take no longer than
-/// alone, up to a first guess; then it grows slowly. Loads that are slowed lead
-/// straight to the number that the store bears.
+/// The weight store sustains a limited number of concurrent loads. With more,
+/// each load takes longer, and the runs of its upstream are stalled for that
+/// long. Adding upstreams does not make the store faster, so the limit is
+/// derived from load durations, as in congestion control: it starts low and
+/// grows fast up to an initial guess while loads take no longer than a single
+/// one, then grows slowly. If loads are slowed, it drops directly to the
+/// estimated capacity of the store.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -15,50 +16,54 @@
 
 namespace marjoramtally {
 
-/// Learns the limit from loads that ended.
+/// Adapts the limit to the durations of finished loads.
 class LoadLimit
 {
 public:
-  /// @param aLeast the limit never goes below
+  /// @param aMinLimit the limit never falls below this
   explicit LoadLimit(std::uint32_t aMinLimit)
     : minLimit_(aMinLimit)
   {
   }
 
   /// A load ended.
-  /// @param aInProgress loads in progress until then, this one included
+  /// @param aInProgress number of loads in progress just before, this one
+  /// included
   void OnLoaded(Duration aTook, std::uint32_t aInProgress, TimePoint aNow);
   /// Loads were ordered.
-  /// @param aCount loads in progress with them
+  /// @param aCount number of loads in progress, the new ones included
   void OnInProgress(std::uint32_t aCount, TimePoint aNow);
-  /// @param aFirst the limit that is guessed as long as nothing was learned
+  /// @param aInitialGuess expected limit, used until a load has ended
+  /// @returns the present limit
   [[nodiscard]] std::uint32_t LimitFor(std::uint32_t aInitialGuess);
-  /// @returns the present limit; 0 before it was asked for
+  /// @returns the present limit; 0 before the first call of `LimitFor`
   [[nodiscard]] std::uint32_t Get() const noexcept
   {
     return static_cast<std::uint32_t>(limit_);
   }
 
 private:
-  /// Judges the loads that began since the limit changed, once there are
-  /// enough of them.
+  /// Adjusts the limit if enough loads have ended that began after its last
+  /// change.
   void Evaluate(TimePoint aNow);
   void SetLimit(double aLimit, TimePoint aNow);
 
   std::uint32_t minLimit_;
   double limit_ = 0;
-  /// Below it the limit grows fast.
+  /// Below this value the limit grows fast.
   double fastGrowthCeiling_ = 0;
-  /// What the fastest load took.
+  /// Duration of the fastest load.
   Duration fastest_{ 0 };
   /// When the limit was last changed or confirmed.
   TimePoint changedAt_;
-  /// Since when as many are in progress as may be; `kNever` if they are not.
+  /// When the number of loads in progress reached the limit; `kNever` if it is
+  /// lower.
   TimePoint saturatedSince_ = kNever;
-  /// What loads that began since the change took.
+  /// Durations of loads that began after the last change.
   std::vector<Duration> durations_;
-  /// Loads that began since the limit was used up. Those before them had the
-  /// store of weights to themselves for a while and say little of it.
+  /// Number of these loads that began while the limit was reached. Loads that
+  /// began before shared the store with fewer others and do not show whether it
+  /// sustains the limit.
   std::size_t saturatedLoads_ = 0;
 };
 
--- a/include/marjoramtally/process/rollout.hpp
+++ b/include/marjoramtally/process/rollout.hpp
@@ -1,6 +1,6 @@
-/// Brings the upstreams that this process owns to the wanted weights and
-/// roles: load ahead within the weight store's rate, then switch in waves
-/// that keep a floor of upstreams answering.
+/// Moves the upstreams that this process owns to the wanted weights and roles:
+/// prefetches weights within the rate of the weight store, then switches
+/// upstreams in waves that keep a minimum number of them answering.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -13,34 +13,37 @@
 
 namespace marjoramtally {
 
-/// How often a pause between two tries doubles.
+/// Maximum number of times that a retry delay doubles.
 inline constexpr std::uint64_t kMaxBackoffDoublings = 4;
 
 /// Limits of one owner.
 struct RolloutPolicy
 {
   FencingPolicy fencing_;
-  /// This owner's part of the weight store's rate.
+  /// Loads per second: this owner's share of the weight store's rate.
   double loadsPerSecond_ = 50.0;
   std::uint64_t parallelLoads_ = 64;
-  /// Failed orders in a row until an upstream is left as it is.
+  /// Consecutive failed orders after which an upstream is abandoned until
+  /// `longRetryDelay_` has passed.
   std::uint64_t maxAttempts_ = 4;
-  /// Before the first retry; doubles with each.
+  /// Delay before the first retry; doubles with each further one.
   Duration retryDelay_ = std::chrono::milliseconds(250);
-  /// Before an upstream that was left as it is is tried again.
+  /// Delay before an abandoned upstream, or one that refused an order, is tried
+  /// again.
   Duration longRetryDelay_ = std::chrono::seconds(30);
-  /// Between two reads of a settled upstream's state.
+  /// Time between two reads of the state of a settled upstream.
   Duration readPeriod_ = std::chrono::seconds(1);
 };
 
-/// What a service's upstreams are to be.
+/// Wanted state of the upstreams of a service.
 struct ServiceGoal
 {
   ModelVersions versions_;
-  /// Answering upstreams of this owner that may be switching at once.
+  /// Maximum number of answering upstreams of this owner that may switch at the
+  /// same time.
   std::uint64_t switchSlots_ = 0;
-  /// Generations in progress may end on the old weights for so long; zero
-  /// resumes them on the new ones.
+  /// Time within which generations in progress may finish on the old weights;
+  /// zero resumes them on the new ones.
   Duration drain_{ 0 };
 };
 
@@ -65,7 +68,7 @@
 class Rollout
 {
 public:
-  /// @param aPermits paces loads; by default a share of the store's rate
+  /// @param aPermits limits the rate of loads; `SharedRatePermits` if null
   Rollout(RolloutPolicy aPolicy,
           std::uint64_t aSeed,
           std::unique_ptr<LoadPermits> aPermits = nullptr);
@@ -73,26 +76,30 @@
   void SetPolicy(const RolloutPolicy& aPolicy);
   void SetGoal(const ServiceId& aService, ServiceGoal aGoal);
   void SetRole(const UpstreamId& aUpstream, const std::string& aRole);
-  /// We own it under this term; repeats change nothing.
+  /// The process owns the upstream under this term. A repeated call with the
+  /// same term changes nothing.
   void OnOwned(const OwnedUpstream& aUpstream,
                FencingNumber aTerm,
                TimePoint aNow);
-  /// We own it no longer.
+  /// The process no longer owns the upstream.
   void OnLost(const UpstreamId& aUpstream);
-  /// Our lease holds until then by our clock.
+  /// The lease of this process is valid until then by the local clock.
   void OnLease(TimePoint aUntil) noexcept;
-  /// A read of state ended. `aAskedAt` is when it was sent.
+  /// A read of an upstream's state succeeded.
+  /// @param aAskedAt when the read was sent
   void OnState(const UpstreamId& aUpstream,
                UpstreamState aState,
                TimePoint aAskedAt,
                TimePoint aNow);
   void OnUnreadable(const UpstreamId& aUpstream, TimePoint aNow);
-  /// An order ended; one from before the upstream was lost is ignored.
+  /// An order ended. Ignored if the order was sent before the upstream was last
+  /// lost.
   void OnOrderEnd(const SendOrder& aOrder, OrderEnd aEnd, TimePoint aNow);
-  /// @returns what to do now
+  /// @returns the actions to perform now
   [[nodiscard]] RolloutActions Decide(TimePoint aNow);
   [[nodiscard]] RolloutCounts Counts() const;
-  /// @returns whether it is ours and no order or read is in progress
+  /// @returns whether this process owns the upstream and no order or read is in
+  /// progress
   [[nodiscard]] bool Idle(const UpstreamId& aUpstream) const;
 
 private:
@@ -104,18 +111,18 @@
     std::string role_;
     std::optional<SendOrder> order_;
     bool readInProgress_ = false;
-    /// Its state was read and reads have not failed since.
+    /// The state was read and no read has failed since.
     bool readable_ = false;
     bool outOfRotation_ = false;
     bool settled_ = false;
     std::uint64_t failures_ = 0;
     std::uint64_t failedReads_ = 0;
-    /// Loads in a row that the weight store refused.
+    /// Consecutive loads that the weight store refused.
     std::uint64_t refusedLoads_ = 0;
     TimePoint retryAt_;
     TimePoint nextRead_;
   };
-  /// Upstreams of one service that are not, or soon not, answering.
+  /// Number of upstreams of each service that are switching or not answering.
   using SlotUse = std::map<ServiceId, std::uint64_t>;
 
   [[nodiscard]] static bool IsAnswering(const Upstream& aUpstream) noexcept;
@@ -138,7 +145,7 @@
   void OnDone(Upstream& aUpstream, const SendOrder& aOrder);
   void OnFailed(Upstream& aUpstream, TimePoint aNow);
   void Abandon(Upstream& aUpstream, TimePoint aNow);
-  /// @returns the duration stretched or shrunk by up to a quarter
+  /// @returns the duration multiplied by a random factor from 0.75 to 1.25
   [[nodiscard]] Duration Jitter(Duration aDuration) noexcept;
   void Notify(const Upstream& aUpstream, RolloutNoticeKind aKind);
 
--- a/include/marjoramtally/process/rollout_messages.hpp
+++ b/include/marjoramtally/process/rollout_messages.hpp
@@ -14,18 +14,19 @@
 /// Versions by model or adapter.
 using ModelVersions = std::map<std::string, WeightVersion>;
 
-/// What an upstream says of itself when its state is read.
+/// State of an upstream, as it reports it.
 struct UpstreamState
 {
   ModelVersions served_;
-  /// Loaded ahead, not necessarily served.
+  /// Prefetched versions, not necessarily served.
   ModelVersions loaded_;
   std::string role_;
   std::uint64_t running_ = 0;
   std::uint64_t queued_ = 0;
 };
 
-/// Kind of an order. All are absolute: they name the state to be in.
+/// Kind of an order. Orders are absolute: they name the state to reach, so that
+/// repeating one is safe.
 enum class OrderKind
 {
   Prefetch,
@@ -33,24 +34,24 @@
   Role,
 };
 
-/// Sends an order; its end comes back as an `OrderEnd`.
+/// Action: sends an order. Its result is reported as an `OrderEnd`.
 struct SendOrder
 {
   UpstreamId upstream_;
-  /// Names the order when its end is reported.
+  /// Identifies the order when its end is reported.
   std::uint64_t number_ = 0;
   OrderKind kind_ = OrderKind::Prefetch;
   FencingNumber term_;
   std::string model_;
   WeightVersion version_;
   std::string role_;
-  /// Generations in progress may end on the old weights for so long.
+  /// Time within which generations in progress may finish on the old weights.
   Duration drain_{ 0 };
-  /// Not to be sent later than this.
+  /// The order must not be sent after this time.
   TimePoint sendBy_ = kNever;
 };
 
-/// Reads an upstream's state.
+/// Action: reads an upstream's state.
 struct ReadState
 {
   UpstreamId upstream_;
@@ -58,18 +59,19 @@
 
 enum class RolloutNoticeKind
 {
-  /// A failed swap is tried again.
+  /// A failed order is retried.
   Retried,
-  /// Tries used up; it stays on a known version and in rotation.
+  /// All attempts failed; the upstream stays in rotation with the version that
+  /// it serves.
   LeftBehind,
-  /// Tries used up and no version is served, or its state cannot be read.
+  /// All attempts failed and no version is served, or the state cannot be read.
   OutOfRotation,
   BackInRotation,
   /// All wanted versions are served.
   Settled,
 };
 
-/// Tells operators of a turn.
+/// Action: reports a change of an upstream's rollout status to operators.
 struct RolloutNotice
 {
   UpstreamId upstream_;
@@ -85,17 +87,17 @@
   Done,
   /// The upstream has seen a higher fencing number.
   Refused,
-  /// The upstream said that it failed.
+  /// The upstream reported a failure.
   Failed,
-  /// The weight store did not give the weights now.
+  /// The weight store refused to serve the weights for now.
   StoreBusy,
-  /// The order may have taken effect: its answer was lost.
+  /// The reply was lost; the order may have taken effect.
   Unknown,
-  /// Too late to be sent, or no byte left.
+  /// The deadline for sending had passed, or no byte was sent.
   NotSent,
 };
 
-/// @returns the name of a kind as orders and logs spell it
+/// @returns the name of a kind as used in orders and logs
 [[nodiscard]] std::string_view
 ToString(OrderKind aKind) noexcept;
 [[nodiscard]] std::string_view
--- a/include/marjoramtally/process/rollout_shares.hpp
+++ b/include/marjoramtally/process/rollout_shares.hpp
@@ -1,6 +1,7 @@
-/// Shares of what all owners use together: the weight store's rate, the
-/// number of upstreams that may be switching, reads of state; and which
-/// instance should own an upstream.
+/// Divides shared resources among the owners of a service's upstreams: the rate
+/// of the weight store, the number of upstreams that may switch at the same
+/// time, and the rate of state reads. Also chooses the instance that should own
+/// an upstream.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,14 +12,15 @@
 
 namespace marjoramtally {
 
-/// Refills at a rate up to a burst.
+/// Token bucket: refills at a constant rate up to a maximum.
 class TokenBucket
 {
 public:
   TokenBucket() = default;
   TokenBucket(double aPerSecond, double aBurst) noexcept;
   void SetRate(double aPerSecond) noexcept { perSecond_ = aPerSecond; }
-  /// Starts anew with these tokens at the next take.
+  /// The next `Take` starts from this number of tokens, without a refill for
+  /// the time before it.
   void Restart(double aTokens) noexcept;
   /// @returns whether a token was taken
   [[nodiscard]] bool Take(TimePoint aNow) noexcept;
@@ -38,19 +40,19 @@
 {
 public:
   virtual ~LoadPermits() = default;
-  /// This owner's part of the weight store's rate.
+  /// Sets this owner's share of the weight store's rate.
   virtual void SetRate(double aPerSecond) noexcept = 0;
-  /// New weights are wanted by all owners at this moment.
+  /// All owners begin to load new weights at this moment.
   virtual void OnNewWeights(Random& aRandom) noexcept = 0;
-  /// @param aRetry whether a load is to be repeated that failed
+  /// @param aRetry whether the load repeats one that failed
   /// @returns whether a load may start now
   [[nodiscard]] virtual bool Take(TimePoint aNow, bool aRetry) noexcept = 0;
 };
 
-/// A fixed share of the rate for each owner. Most of it paces first loads,
-/// from a random phase on, so that many owners with small shares do not start
-/// at once; the rest is saved up for retries, which then need not wait a turn
-/// of a small share.
+/// Gives each owner a fixed share of the rate. Most of it limits first
+/// attempts, which begin at a random phase so that many owners with small
+/// shares do not load at the same time. The rest is reserved for retries, which
+/// would otherwise wait for the next token of a small share.
 class SharedRatePermits final : public LoadPermits
 {
 public:
@@ -64,36 +66,39 @@
   TokenBucket retries_;
 };
 
-/// Part of a rate for an owner of some of the upstreams.
+/// @returns the share of a rate for an owner of `aOwned` of `aTotal` upstreams
 [[nodiscard]] double
 RateShare(double aPerSecond,
           std::uint64_t aOwned,
           std::uint64_t aTotal) noexcept;
 
-/// How many of a service's upstreams may be switching at once. A floor under
-/// 100 % leaves one, or a small service would never get new weights.
-/// @param aFloor least share in percent that stays answering
-/// @param aWave most upstreams at once; 0 for no other limit than the floor
+/// @returns how many upstreams of a service may switch at the same time. At
+/// least one if the floor is below 100 %; otherwise a small service would never
+/// receive new weights.
+/// @param aFloorPercent minimum percentage of upstreams that keep answering
+/// @param aMaxWave maximum number of upstreams at the same time; 0 if only the
+/// floor limits them
 [[nodiscard]] std::uint64_t
 SwitchSlots(std::uint64_t aTotal,
             std::uint64_t aFloorPercent,
             std::uint64_t aMaxWave) noexcept;
 
-/// One owner's part of the slots; the parts add up to the slots.
-/// @param aIndex place of this owner among the service's owners, sorted
+/// @returns one owner's share of the slots; the shares of all owners add up to
+/// `aSlots`
+/// @param aIndex index of this owner among the service's sorted owners
 [[nodiscard]] std::uint64_t
 SlotShare(std::uint64_t aSlots,
           std::uint64_t aOwners,
           std::uint64_t aIndex) noexcept;
 
-/// Time between two reads of one upstream's state, so that an owner's reads a
-/// second stay bounded however many it owns.
+/// @returns the time between two reads of one upstream's state. Grows with the
+/// number of owned upstreams, so that an owner's reads per second stay bounded.
 [[nodiscard]] Duration
 ReadPeriod(std::uint64_t aOwned) noexcept;
 
-/// Raises a share only after it has stood for a while and lowers it at once,
-/// so that owners whose views differ for a moment do not use more together
-/// than there is.
+/// Hysteresis for a share: reductions apply at once, increases only after the
+/// larger share has been offered for a hold time. While views of owners differ
+/// briefly, their shares therefore do not add up to more than the total.
 class SteadyShare
 {
 public:
@@ -108,13 +113,14 @@
 private:
   Duration hold_;
   std::uint64_t used_ = 0;
-  /// Least share seen since `since_`.
+  /// Smallest share offered since `pendingSince_`.
   std::uint64_t pending_ = 0;
   TimePoint pendingSince_;
 };
 
-/// @returns the instances that should own a service's upstreams, by
-/// rendezvous hashing: the same for everybody, changed little by one more
+/// @returns the instances that should own a service's upstreams, chosen by
+/// rendezvous hashing: every process computes the same set, and one more
+/// candidate changes it little
 [[nodiscard]] std::vector<InstanceId>
 ChooseOwners(const ServiceId& aService,
              std::vector<InstanceId> aCandidates,
--- a/include/marjoramtally/process/supply_plan.hpp
+++ b/include/marjoramtally/process/supply_plan.hpp
@@ -1,10 +1,10 @@
-/// How many upstreams of a service to order in each availability zone.
+/// Plans how many upstreams of a service to order in each availability zone.
 ///
-/// Answers a load of steps that begin together: a burst of items wants a place
-/// at once, a step is due soon after, and a new upstream serves only after its
-/// boot time. An upstream that idles costs little beside a step that is late,
-/// so the plan holds places for the largest burst of the last while, raises at
-/// once and lowers late.
+/// Training steps begin together: a burst of items needs slots at once, a step
+/// is due soon after, and a new upstream serves only after its boot time. An
+/// idle upstream costs little compared with a late step. The plan therefore
+/// holds slots for the largest recent burst, scales up at once and scales down
+/// late.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -15,55 +15,54 @@
 
 namespace marjoramtally {
 
-/// What the plan aims at.
+/// Parameters of the plan.
 struct SupplyPolicy
 {
-  /// Places held for each place wanted.
+  /// Slots held for each slot wanted.
   double headroom_ = 1.25;
-  /// Upstreams held for each that was there at first, as long as no demand was
-  /// seen.
+  /// Upstreams held for each initial one until demand has been reported.
   double initialFactor_ = 2.0;
-  /// Upstreams register one after the other; how many were there at first is
-  /// known when none has come for this long. An order before that would take
-  /// away those that had not registered.
+  /// Upstreams register one after the other. Their initial number is known when
+  /// none has registered for this long. An earlier order would remove upstreams
+  /// that have not registered yet.
   Duration settleTime_ = std::chrono::seconds(3);
-  /// The largest demand of this time counts.
+  /// Window of the largest demand.
   Duration demandWindow_ = std::chrono::seconds(30);
-  /// Less is ordered after this time of less demand; never: at zero.
+  /// Time of lower demand after which the order is reduced; zero: never.
   Duration scaleDownDelay_ = std::chrono::seconds(60);
-  /// A zone that had none to give is asked again after this.
+  /// Delay before the next order to a zone that had no capacity.
   Duration unavailableRetryDelay_ = std::chrono::seconds(5);
-  /// Orders may be carried out so late, after newer ones.
+  /// Maximum delay until an order is carried out, possibly after newer ones.
   Duration maxEffectDelay_ = std::chrono::seconds(13);
-  /// Part of what is ordered beyond the first upstreams that may be
-  /// reclaimable.
+  /// Share of the upstreams ordered beyond the initial ones that may be
+  /// reclaimable (spot).
   double spotShare_ = 0.0;
 };
 
-/// What is known of a service when a plan is made.
+/// State of a service when a plan is made.
 struct SupplyView
 {
   ServiceId service_;
   UpstreamSupply supply_;
-  /// Places of one upstream.
+  /// Slots of one upstream.
   std::uint32_t slots_ = 1;
-  /// Upstreams that serve, by zone; zones without any are listed too.
+  /// Serving upstreams by zone; zones without any are listed too.
   std::map<ZoneId, std::uint32_t> serving_;
-  /// Of these, reclaimable ones.
+  /// Reclaimable ones among `serving_`, by zone.
   std::map<ZoneId, std::uint32_t> spot_;
 };
 
-/// What an order came to.
+/// How an order ended.
 enum class SupplyEnd
 {
   Accepted,
-  /// There are none to be had now.
+  /// No capacity is available now.
   Unavailable,
-  /// It may have been carried out, or will be.
+  /// The order may have been carried out, or will be.
   Unknown,
 };
 
-/// Upstreams of one kind in one zone.
+/// The upstreams of one kind in one zone.
 struct SupplyPool
 {
   ServiceId service_;
@@ -72,7 +71,7 @@
   auto operator<=>(const SupplyPool&) const = default;
 };
 
-/// A number to order, and why.
+/// The number of upstreams to order and the reason.
 struct PlannedSupply
 {
   SupplyPool pool_;
@@ -80,58 +79,58 @@
   std::string_view reason_;
 };
 
-/// The plan. Remembers demand and orders.
+/// Plans orders from recent demand and earlier orders.
 class SupplyPlan
 {
 public:
   explicit SupplyPlan(SupplyPolicy aPolicy = {});
 
-  /// Places that are wanted of a service now.
+  /// Number of slots of a service that are wanted now.
   void OnDemand(const ServiceId& aService,
                 std::uint64_t aSlots,
                 TimePoint aNow);
   /// An earlier holder of the duty ordered this number.
   void OnRestored(const SupplyPool& aPool, std::uint32_t aCount);
-  /// @returns orders to send now
+  /// @returns the orders to send now
   [[nodiscard]] std::vector<PlannedSupply> Next(const SupplyView& aView,
                                                 TimePoint aNow);
   void OnEnd(const PlannedSupply& aOrder, SupplyEnd aEnd, TimePoint aNow);
-  /// @returns how many upstreams of a service are wanted in all
+  /// @returns the total number of wanted upstreams of a service
   [[nodiscard]] std::uint32_t Wanted(const SupplyView& aView,
                                      TimePoint aNow) const;
 
 private:
-  /// What is known of an order.
+  /// State of the orders of one pool.
   struct Ordered
   {
     std::uint32_t count_ = 0;
-    /// An order is on its way.
+    /// An order is in progress.
     bool pending_ = false;
-    /// Repeated then, as an older one may take effect meanwhile.
+    /// When the order is repeated, as an older one may take effect after it.
     TimePoint repeatAt_ = kNever;
-    /// None are to be had before then.
+    /// No capacity is expected before this time.
     TimePoint unavailableUntil_;
-    /// Since when fewer serve than were ordered.
+    /// Since when fewer upstreams serve than were ordered.
     TimePoint shortSince_ = kNever;
   };
 
-  /// The upstreams of a service that were there before any order.
+  /// Number of upstreams that existed before any order.
   struct InitialCount
   {
     std::uint32_t count_ = 0;
     TimePoint lastIncrease_;
   };
 
-  /// @returns whether it is known how many upstreams were there at first
+  /// @returns whether the present orders of the service are known
   [[nodiscard]] bool Settled(const SupplyView& aView, TimePoint aNow);
   [[nodiscard]] std::uint64_t Peak(const ServiceId& aService,
                                    TimePoint aNow) const;
-  /// @returns numbers by zone that add up to what is wanted, evenly so that
-  /// the loss of a zone takes few, cheaper zones first
+  /// @returns numbers by zone that add up to the wanted total: spread evenly,
+  /// so that the loss of a zone removes few, with cheaper zones first
   [[nodiscard]] std::map<ZoneId, std::uint32_t> Spread(const SupplyView& aView,
                                                        std::uint32_t aWanted,
                                                        TimePoint aNow) const;
-  /// @returns why an order is due; empty if none is
+  /// @returns the reason for an order; empty if none is due
   [[nodiscard]] std::string_view OrderReason(Ordered& aOrdered,
                                              std::uint32_t aTarget,
                                              std::uint32_t aServing,
@@ -146,10 +145,10 @@
   std::map<ServiceId, PeakDemand> demand_;
   std::map<SupplyPool, Ordered> ordered_;
   std::map<ServiceId, InitialCount> initial_;
-  /// Services whose present orders are known: from an earlier holder, or as
-  /// what was there at first.
+  /// Services with known present orders, either restored from an earlier holder
+  /// or derived from the initial upstreams.
   std::set<ServiceId> settled_;
-  /// Since when fewer upstreams of a service were wanted than were ordered.
+  /// Since when fewer upstreams of a service are wanted than serve.
   std::map<ServiceId, TimePoint> surplusSince_;
 };
 
--- a/include/marjoramtally/process/usage_ledger.hpp
+++ b/include/marjoramtally/process/usage_ledger.hpp
@@ -1,9 +1,10 @@
-/// The bill of customers' use, for the holder of the duty: which windows are to
-/// be settled, which are to be sent.
+/// Usage of customers, for the holder of the reporting duty: which windows are
+/// to be settled and which are to be sent.
 ///
-/// A window's counts are settled by a write that only one holder's first try
-/// can make, before they are sent. So each repeat, a later holder's too, and a
-/// call that is carried out late, tells the same counts.
+/// Before a window's counts are sent, they are settled by a conditional write
+/// that only the first attempt of one holder can make. Every repeated report,
+/// also one of a later holder or one that is processed late, therefore carries
+/// the same counts.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -14,11 +15,11 @@
 
 namespace marjoramtally {
 
-/// A window whose counts are final.
+/// A window with final counts.
 struct SettledWindow
 {
   CustomerCounts counts_;
-  /// The platform has acknowledged them.
+  /// The platform has acknowledged the report.
   bool sent_ = false;
 };
 
@@ -27,45 +28,47 @@
 [[nodiscard]] Result<SettledWindow>
 ReadSettledWindow(std::string_view aText);
 
-/// Times that govern the bill.
+/// Timing of the reports.
 struct UsagePolicy
 {
   Duration window_ = std::chrono::seconds(5);
-  /// A report is due so long after its window's end.
+  /// A report is due this long after the end of its window.
   Duration reportDeadline_ = std::chrono::seconds(10);
-  /// Requests that began in a window have ended so long after it, so that they
-  /// are counted.
+  /// Requests that started in a window are counted by all gateways this long
+  /// after its end.
   Duration collectionDelay_ = std::chrono::milliseconds(2500);
-  /// Part of the time until a report is due after which a window is settled
-  /// without those that did not tell.
+  /// Share of the time until a report is due. After it, a window is settled
+  /// without the gateways that have not answered.
   double maxWaitShare_ = 0.7;
 };
 
-/// What is known of the windows.
+/// Reported and settled windows.
 class UsageLedger
 {
 public:
-  /// Windows kept in the store after they were sent.
+  /// Number of windows kept in the store after they were sent.
   static constexpr UsageWindow kRetainedWindows = 12;
 
   explicit UsageLedger(UsagePolicy aPolicy);
 
-  /// The duty begins: takes what earlier holders have settled. Without any, the
-  /// bill begins with the present window.
+  /// Starts the duty with the windows that earlier holders settled. Without
+  /// any, accounting starts with the present window.
   void Begin(std::map<UsageWindow, SettledWindow> aSettled, TrueTime aNow);
-  /// Takes what a process told when asked at that time.
+  /// Records the usage that a gateway reported in reply to a request sent at
+  /// this time.
   void OnUsage(const GatewayUsage& aUsage, TrueTime aRequestedAt);
-  /// @param aLive the processes that should tell
-  /// @returns the next window whose counts are final, if any
+  /// @param aLive incarnations of the gateways that should report
+  /// @returns the next window with final counts, if any
   [[nodiscard]] std::optional<UsageWindow> NextDue(
     TrueTime aNow,
     const std::set<std::string>& aLive) const;
   [[nodiscard]] CustomerCounts CountsOf(UsageWindow aWindow) const;
   void OnSettled(UsageWindow aWindow, SettledWindow aSettled);
-  /// @returns the oldest window that was settled and not acknowledged
+  /// @returns the oldest window that is settled but not acknowledged
   [[nodiscard]] std::optional<UsageWindow> NextToSend() const;
   void OnSent(UsageWindow aWindow);
-  /// @returns windows that need not be kept any more; forgets them
+  /// Removes sent windows beyond the retained number.
+  /// @returns the removed windows
   [[nodiscard]] std::vector<UsageWindow> TakeObsolete();
   [[nodiscard]] const std::map<UsageWindow, SettledWindow>& Settled()
     const noexcept
@@ -80,10 +83,10 @@
   /// The first window that is not settled.
   UsageWindow next_ = 0;
   std::map<UsageWindow, SettledWindow> settled_;
-  /// The most that each run of a process told, by window: one that ended keeps
-  /// what it told last.
+  /// Last counts reported by each incarnation of a gateway, by window. An
+  /// incarnation that ended keeps its last report.
   std::map<UsageWindow, std::map<std::string, CustomerCounts>> reported_;
-  /// When the last answer of each process was asked for.
+  /// When the last answered request to each gateway was sent.
   std::map<std::string, TrueTime> requestedAt_;
 };
 
--- a/include/marjoramtally/process/usage_messages.hpp
+++ b/include/marjoramtally/process/usage_messages.hpp
@@ -1,4 +1,4 @@
-/// Messages between the holder of the duty of reports and gateways.
+/// Messages between the holder of the reporting duty and gateways.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -6,13 +6,13 @@
 
 namespace marjoramtally {
 
-/// Asks a gateway for its counts.
+/// Requests the counts of a gateway.
 struct UsageRequest
 {
   TrueTime now_;
   Duration window_{ 0 };
-  /// Addresses of gateways that the asked one is to ask as well, so that the
-  /// holder makes few calls however many gateways there are.
+  /// Addresses of gateways that the receiver queries as well. This bounds the
+  /// number of calls that the holder makes, whatever the number of gateways.
   std::vector<std::string> others_;
 };
 
--- a/include/marjoramtally/process/usage_meter.hpp
+++ b/include/marjoramtally/process/usage_meter.hpp
@@ -1,4 +1,4 @@
-/// What customers use: requests that began to run, by windows of true time.
+/// Counts customers' requests that started to run, by windows of true time.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,30 +11,31 @@
 
 namespace marjoramtally {
 
-/// Number of a window: how many windows have passed since the Unix epoch.
+/// Index of a window: the number of whole windows since the Unix epoch.
 using UsageWindow = std::uint64_t;
-/// Requests of each customer.
+/// Number of requests of each customer.
 using CustomerCounts = std::map<CustomerId, std::uint64_t>;
 /// Counts by window.
 using UsageCounts = std::map<UsageWindow, CustomerCounts>;
 
-/// Time since the Unix epoch as most instances tell it.
+/// Time since the Unix epoch by the median of the instances' clocks.
 struct TrueTime
 {
   Duration sinceEpoch_{ 0 };
   constexpr auto operator<=>(const TrueTime&) const = default;
 };
 
-/// @returns the window that an instant lies in
+/// @returns the window that contains the given time
 [[nodiscard]] constexpr UsageWindow
 WindowOf(TrueTime aTime, Duration aLength) noexcept
 {
   return static_cast<UsageWindow>(aTime.sinceEpoch_ / aLength);
 }
 
-/// Counts what began to run at one process. Instants are of the process's
-/// monotonic clock; whoever asks says what the true time is, so that clocks
-/// which differ or jump do not move requests to other windows.
+/// Counts requests that started at one process. Times are recorded on the
+/// monotonic clock of the process and converted with the true time that the
+/// caller passes, so that clock differences and jumps do not move requests to
+/// other windows.
 class UsageMeter
 {
 public:
@@ -48,29 +49,30 @@
                                    Duration aWindow) const;
 
 private:
-  /// Instants are kept to this.
+  /// Resolution of recorded times.
   static constexpr Duration kResolution = std::chrono::milliseconds(5);
 
   std::map<TimePoint, CustomerCounts> started_;
 };
 
-/// Use that one process told of.
+/// Usage reported by one gateway process.
 struct GatewayUsage
 {
-  /// Names the run of the process.
+  /// Identifies the run of the process.
   std::string incarnation_;
-  /// How far its time of day is ahead of the true time that it was told.
+  /// Offset of its wall clock from the true time in the request; positive if it
+  /// is ahead.
   Duration clockAhead_{ 0 };
   UsageCounts counts_;
-  /// Places that its items and requests want, by service.
+  /// Slots wanted by its items and requests, by service.
   std::map<ServiceId, std::uint64_t> demand_;
-  /// Places that items want, by model.
+  /// Slots wanted by its items, by model.
   std::map<std::string, std::uint64_t> modelDemand_;
-  /// Its long runs in progress, by upstream.
+  /// Number of its long runs in progress, by upstream.
   std::map<UpstreamId, std::uint32_t> longRuns_;
 };
 
-/// @returns the median of how far clocks are ahead; 0 if there are none
+/// @returns the median clock offset; 0 if there are none
 [[nodiscard]] Duration
 MedianClockAhead(std::vector<Duration> aOffsets);
 
--- a/include/marjoramtally/process/weight_plan.hpp
+++ b/include/marjoramtally/process/weight_plan.hpp
@@ -1,12 +1,12 @@
-/// Which upstream is to load which weight version next.
+/// Plans which upstream loads which weight version next.
 ///
-/// Each upstream of a service is home to some of its models, and a new version
-/// is loaded only where its model is at home. A model's upstreams change in
-/// turn, so that the others go on with the version before, and lie in several
-/// zones, so that a cut leaves it some. Homes are spread evenly: upstreams
-/// register one after the other, and without that the first one stayed home to
-/// all models (18 of 44 loads and 812 of 1,131 refusals of items at one of ten
-/// upstreams).
+/// Each upstream of a service is a replica of some of its models: it loads only
+/// the new versions of these. The replicas of a model change versions in turn,
+/// so that the others keep serving the previous version, and lie in several
+/// zones, so that the loss of a zone leaves some. Replicas are spread evenly.
+/// Upstreams register one after the other, and without rebalancing the first
+/// one remained a replica of all models (of ten upstreams, one had 18 of 44
+/// loads and 812 of 1,131 refusals of items).
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -22,24 +22,24 @@
 
 namespace marjoramtally {
 
-/// One upstream as the plan sees it.
+/// State of an upstream when a plan is made.
 struct PlanUpstream
 {
   UpstreamId id_;
   ServiceId service_;
   ZoneId zone_;
-  /// Version held of each of its models.
+  /// Loaded version of each of its models.
   std::map<std::string, WeightVersion> versions_;
-  /// An order is under way there, or may be.
+  /// An order is in progress there, or may be.
   bool busy_ = false;
-  /// Long runs in progress there, as far as is known. A load would hold them
-  /// up, and a step waits for its longest text.
+  /// Known long runs in progress. A load would stall them, and a step waits for
+  /// its longest text.
   std::uint32_t longRuns_ = 0;
-  /// Places for items.
+  /// Slots for items.
   std::uint32_t slots_ = 1;
 };
 
-/// One load to be ordered.
+/// A load to order.
 struct PlannedLoad
 {
   UpstreamId upstream_;
@@ -47,135 +47,143 @@
   WeightVersion version_;
 };
 
-/// Limits of the plan.
+/// Parameters of the plan.
 struct WeightPlanPolicy
 {
-  /// Loads at the same time; with more, each takes longer.
+  /// Minimum of the limit of concurrent loads; with more loads, each takes
+  /// longer.
   std::uint32_t minConcurrentLoads_ = 2;
-  /// In a larger service, one load at once for so many upstreams, as long as
-  /// nothing was learned of what loads take.
+  /// Upstreams per concurrent load: sets the limit in a larger service until
+  /// load durations have been observed.
   std::uint32_t upstreamsPerLoad_ = 5;
-  /// Share of a model's upstreams that are to hold its newest version. The
-  /// others may be one behind, as steps allow, and load every second version:
-  /// a load holds runs up for 0.9 s, and the longest text of a step takes
-  /// 7 s of 7.5 s.
+  /// Share of a model's replicas that should hold its newest version. The
+  /// others may be one version behind, as steps allow, and load every second
+  /// version: a load stalls runs for 0.9 s, and the longest text of a step
+  /// takes 7 s of 7.5 s.
   double newestShare_ = 0.5;
-  /// Most models at home at an upstream, in the mean. Steps of several
-  /// trainers begin together and each is a burst, so a model that has only its
-  /// share of the upstreams lets half of its items wait for a place while
-  /// others idle. With half of a model's homes loading each version, up to 2
-  /// cost no more loads than one load a version and upstream of an equal
-  /// share. Three models on eight upstreams: awaited groups whole after 3.4 s,
-  /// not 4.1 s (mean of 360 played steps).
+  /// Maximum mean number of models per upstream. Steps of several trainers
+  /// begin together, each as a burst. If a model has only an equal share of the
+  /// upstreams, half of its items wait for a slot while other upstreams are
+  /// idle. As half of a model's replicas load each version, a value up to 2
+  /// costs no more loads than an equal share in which every upstream loads each
+  /// version. Three models on eight upstreams: awaited groups complete after
+  /// 3.4 s instead of 4.1 s (mean of 360 simulated steps).
   double maxReplicasPerUpstream_ = 1.5;
-  /// Most homes of a model, in places for each place of its largest burst: half
-  /// of them may be a version too old for the next step, and a zone of three
-  /// may be lost. More would be loaded for nobody, however large the fleet is.
+  /// Maximum slots in a model's replicas for each slot of its largest burst:
+  /// half of the replicas may hold a version that is too old for the next step,
+  /// and one of three zones may be lost. More replicas would load versions that
+  /// no item needs, however large the fleet is.
   double burstHeadroom_ = 3.0;
-  /// The largest burst of this time counts.
+  /// Window of the largest burst.
   Duration demandWindow_ = std::chrono::seconds(30);
-  /// A load takes 0.9 s, and the report that tells of its end lags by 0.2 s.
+  /// A load takes 0.9 s, and the report of its end lags by 0.2 s.
   Duration loadTime_ = std::chrono::milliseconds(1100);
-  /// Share of the time in which as many loads as may be are under way: with
-  /// more, versions reach their upstreams after the step that needs them (mean
-  /// worth of a fleet of 35 upstreams and four models 0.678, so 0.729).
+  /// Target utilization of the concurrent loads. With a higher one, versions
+  /// reach their upstreams after the step that needs them (mean value of a
+  /// fleet of 35 upstreams and four models 0.678 instead of 0.729).
   double loadUtilization_ = 0.75;
-  /// Time between two versions of a model before two were seen: short, so that
-  /// a new holder takes on no more homes than it can keep up with.
+  /// Assumed time between two versions of a model until two have been
+  /// announced. It is short, so that a new holder of the duty does not assign
+  /// more replicas than it can update.
   Duration initialVersionPeriod_ = std::chrono::seconds(4);
-  /// Weight of the newest observation in the smoothed time. Trainers that catch
-  /// up name versions twice as fast for a while; with 0.3 homes came and went
-  /// (mean worth of a fleet of eight 0.860, with 0.1 0.874).
+  /// Weight of the newest observation in the smoothed time between versions.
+  /// Trainers that catch up announce versions twice as fast for a while; with
+  /// 0.3 replicas were added and removed repeatedly (mean value of a fleet of
+  /// eight 0.860, with 0.1 0.874).
   double periodSmoothing_ = 0.1;
 };
 
-/// The plan. Remembers homes, so that they change as little as may be.
+/// Plans loads. Keeps replicas between plans, so that they change as little as
+/// possible.
 class WeightPlan
 {
 public:
   explicit WeightPlan(WeightPlanPolicy aPolicy = {});
 
-  /// A trainer named a version; older ones are ignored.
+  /// A trainer announced a version; older ones are ignored.
   void OnVersionAnnounced(const std::string& aModel,
                           WeightVersion aVersion,
                           TimePoint aNow);
-  /// Places that items of a model want now. A model of which nothing was told
-  /// is given as many homes as loads can keep up with.
+  /// Number of slots that items of a model want now. A model without reported
+  /// demand gets as many replicas as loads can keep up to date.
   void OnDemand(const std::string& aModel,
                 std::uint64_t aSlots,
                 TimePoint aNow);
-  /// A load that was ordered has ended.
+  /// An ordered load has ended.
   void OnLoaded(Duration aTook, TimePoint aNow);
   /// The loads of the last plan are being ordered.
   void OnOrdered(TimePoint aNow);
-  /// @returns loads to order now
+  /// @returns the loads to order now
   [[nodiscard]] std::vector<PlannedLoad> Next(
     const std::vector<PlanUpstream>& aUpstreams);
-  /// @returns how many loads may be under way
+  /// @returns the maximum number of concurrent loads
   [[nodiscard]] std::uint32_t ConcurrentLoadLimit() const noexcept
   {
     return limit_.Get();
   }
-  /// @returns how many were when the last plan was made, with those it ordered
+  /// @returns the number of loads in progress after the last plan, including
+  /// those it ordered
   [[nodiscard]] std::uint32_t LoadsInProgress() const noexcept { return busy_; }
-  /// @returns the first model whose home an upstream is; empty if it has none
+  /// @returns the first model that an upstream is a replica of; empty if there
+  /// is none
   [[nodiscard]] std::string FirstModelAt(const UpstreamId& aUpstream) const;
-  /// @returns to how many models an upstream is home
+  /// @returns the number of models that an upstream is a replica of
   [[nodiscard]] std::size_t CountModelsAt(const UpstreamId& aUpstream) const;
-  /// @returns how often the last plan looked at an upstream to assign a model:
-  /// the work of a plan, during which its process does nothing else
+  /// @returns how many times the last plan examined an upstream to assign a
+  /// model. This measures the work of a plan, which blocks its process.
   [[nodiscard]] std::uint64_t ExaminedCandidates() const noexcept
   {
     return examined_;
   }
 
 private:
-  /// An upstream of the service that is planned, with its homes.
-  struct Member
+  /// An upstream of the service that is planned, with its models.
+  struct ServiceUpstream
   {
     const PlanUpstream* upstream_ = nullptr;
     std::set<std::string>* models_ = nullptr;
   };
-  using Members = std::vector<Member>;
+  using ServiceUpstreams = std::vector<ServiceUpstream>;
 
-  /// Adds the loads of one service.
-  void PlanService(const Members& aMembers, std::vector<PlannedLoad>& aLoads);
-  void AssignReplicas(const Members& aMembers);
-  /// @returns how many upstreams are to be each model's home: as many as can
-  /// be kept up with the versions that are named, and no more than its items
-  /// have use for
+  /// Appends the loads of one service.
+  void PlanService(const ServiceUpstreams& aService,
+                   std::vector<PlannedLoad>& aLoads);
+  void AssignReplicas(const ServiceUpstreams& aService);
+  /// @returns the number of replicas of each model: as many as loads can keep
+  /// up with the announced versions, but no more than its items need
   [[nodiscard]] std::map<std::string, std::size_t> TargetReplicas(
-    const Members& aMembers,
+    const ServiceUpstreams& aService,
     const std::vector<std::string>& aModels);
-  /// @returns upstreams that hold the places of a model's largest burst;
-  /// nothing if no demand is known
+  /// @returns the number of upstreams with enough slots for a model's largest
+  /// burst; nothing if no demand is known
   [[nodiscard]] std::optional<double> UpstreamsForBurst(
-    const Members& aMembers,
+    const ServiceUpstreams& aService,
     const std::string& aModel) const;
   [[nodiscard]] std::uint32_t ConcurrentLoads(std::size_t aUpstreams);
-  /// @param aCount homes to add
-  /// @param aMost models at home at one upstream while others have fewer
+  /// @param aCount replicas to add
+  /// @param aMaxPerUpstream models per upstream above which others are
+  /// preferred
   void AddReplicas(const std::string& aModel,
                    std::size_t aCount,
                    std::size_t aMaxPerUpstream,
-                   const Members& aMembers);
-  /// Takes homes from upstreams that are home to more models than the others
-  /// need to be.
-  void TrimReplicas(std::size_t aMaxPerUpstream, const Members& aMembers);
-  /// @param aCount homes to remove
+                   const ServiceUpstreams& aService);
+  /// Removes models from upstreams that have more than `aMaxPerUpstream`.
+  void TrimReplicas(std::size_t aMaxPerUpstream,
+                    const ServiceUpstreams& aService);
+  /// @param aCount replicas to remove
   void RemoveReplicas(const std::string& aModel,
                       std::size_t aCount,
-                      const Members& aMembers);
-  /// @returns homes of each model
+                      const ServiceUpstreams& aService);
+  /// @returns the number of replicas of each model
   [[nodiscard]] std::map<std::string, std::size_t> CountReplicas(
-    const Members& aMembers);
-  /// @returns the models that upstreams hold, in the order of their names
+    const ServiceUpstreams& aService);
+  /// @returns the models that upstreams hold, sorted by name
   [[nodiscard]] static std::vector<std::string> ModelNames(
-    const Members& aMembers);
+    const ServiceUpstreams& aService);
   [[nodiscard]] std::uint64_t VersionsBehind(const PlanUpstream& aUpstream,
                                              const std::string& aModel) const;
 
-  /// The newest version of a model, and how often one is named.
+  /// The newest version of a model and the smoothed time between versions.
   struct LatestVersion
   {
     WeightVersion version_;
@@ -186,13 +194,13 @@
   WeightPlanPolicy policy_;
   std::map<std::string, LatestVersion> latest_;
   std::map<std::string, PeakDemand> demand_;
-  /// The largest burst of each model as of its last demand.
+  /// The largest burst of each model, as of its last demand.
   std::map<std::string, std::uint64_t> peakDemand_;
-  /// Models at home at an upstream.
+  /// Models that each upstream is a replica of.
   std::map<UpstreamId, std::set<std::string>> replicas_;
   std::uint64_t examined_ = 0;
   LoadLimit limit_;
-  /// Loads under way when the last plan was made, with those it ordered.
+  /// Loads in progress after the last plan, including those it ordered.
   std::uint32_t busy_ = 0;
 };
 
--- a/src/process/load_limit.cpp
+++ b/src/process/load_limit.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-/// A load that takes so many times the fastest was slowed by others; what
-/// tells of its end comes in steps of a tenth.
+/// Ratio of a load duration to the fastest one above which the load counts as
+/// slowed by others. The end of a load is observed in steps of a tenth of its
+/// duration.
 constexpr double kSlowdownThreshold = 1.2;
 constexpr double kSlowGrowth = 1.05;
-/// Kept in progress of what the store bears: a load holds up the runs of its
-/// upstream for as long as it takes, which costs more than a store that idles.
+/// Share of the store's capacity that is used. A load stalls the runs of its
+/// upstream while it lasts, which costs more than an idle store.
 constexpr double kTargetUtilization = 0.9;
-/// Part of the limit at which it counts as used up; one load ends before the
-/// next is ordered.
+/// Share of the limit at which it counts as reached: one load ends before the
+/// next one is ordered.
 constexpr double kSaturatedShare = 0.85;
 constexpr double kFastGrowth = 2.0;
-/// Most loads at first. A guess that is too high slows all loads, so that what
-/// one takes alone is never seen.
+/// Maximum initial limit. If the initial limit is too high, all loads are
+/// slowed and the duration of an undisturbed load is never observed.
 constexpr std::uint32_t kMaxInitialLimit = 8;
-/// Loads that are judged together, as a part of the limit. Single ones say
-/// little: an upstream may be slow by itself.
+/// Number of loads that are evaluated together, as a share of the limit. A
+/// single load is not conclusive: its upstream may be slow.
 constexpr double kRoundShare = 0.5;
 constexpr std::size_t kMinRoundLoads = 2;
-/// A round that says nothing ends after so many times that number: what loads
-/// took long ago says nothing of the present.
+/// An inconclusive round ends after this multiple of that number, because old
+/// durations do not reflect the present load of the store.
 constexpr std::size_t kMaxRoundFactor = 8;
-/// Loads are slowed where the middle one of a round is. That they are not is
-/// believed where this share of them is not, of as many as the limit: the first
-/// ones to end are those that were slowed least.
+/// Loads count as slowed if the median of a round does. They count as not
+/// slowed if this share of them is not, out of at least as many loads as the
+/// limit: the first loads to end are those that were slowed least.
 constexpr double kMedian = 0.5;
 constexpr double kHighQuantile = 0.9;
 
@@ -41,7 +42,7 @@
          static_cast<double>(aOther.count());
 }
 
-/// @returns the time that a share of the loads took at the most
+/// @returns the given quantile of the durations
 Duration
 Quantile(std::vector<Duration>& aTimes, double aShare)
 {
@@ -60,7 +61,7 @@
   if (fastest_ == Duration{ 0 } || aTook < fastest_) {
     fastest_ = aTook;
   }
-  // Loads that began before the last change say nothing of it.
+  // Loads that began before the last change do not reflect it.
   if (limit_ == 0 || aNow - aTook < changedAt_) {
     return;
   }
--- a/src/process/rollout.cpp
+++ b/src/process/rollout.cpp
@@ -106,7 +106,8 @@
   if (aOrder.kind_ == OrderKind::Role || !IsAnswering(aUpstream)) {
     return true;
   }
-  // An owner whose lease is over no longer knows who else is switching.
+  // Without a valid lease, the owner cannot know which upstreams other owners
+  // are switching.
   if (!aUpstream.fence_.LeaseHolds(aNow)) {
     return false;
   }
@@ -124,8 +125,9 @@
   if (loadsInProgress_ >= policy_.parallelLoads_) {
     return false;
   }
-  // A load that the store refused has had its permit; but in an outage of
-  // the store permits bound the calls again.
+  // A load that the store refused already took a permit and is repeated without
+  // a new one. After `kMaxBackoffDoublings` refusals in a row the store is
+  // treated as down, and permits limit the rate of calls again.
   const bool permitted = aUpstream.refusedLoads_ > 0 &&
                          aUpstream.refusedLoads_ <= kMaxBackoffDoublings;
   return permitted || permits_->Take(aNow, aUpstream.failures_ > 0);
@@ -146,7 +148,7 @@
   aOrder.term_ = *aUpstream.fence_.Term();
   aOrder.sendBy_ = aUpstream.fence_.SendBy();
   if (!aUpstream.fence_.ChecksFencing()) {
-    // Longer draining would take effect after the bound that a next owner
+    // A longer drain would take effect after the bound that the next owner
     // waits for.
     aOrder.drain_ =
       std::min(aOrder.drain_, aUpstream.fence_.Policy().maxEffectDelay_ / 2);
--- a/src/process/rollout_events.cpp
+++ b/src/process/rollout_events.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Reads in a row that fail until an upstream counts as out of rotation.
+/// Consecutive failed reads after which an upstream counts as out of rotation.
 constexpr std::uint64_t kMaxFailedReads = 3;
 
 Duration
@@ -191,7 +191,7 @@
 {
   aUpstream.fence_.OnConfirmed();
   aUpstream.refusedLoads_ = 0;
-  // A load done does not yet mend a swap that failed.
+  // A successful load does not show that a failed switch is resolved.
   if (aOrder.kind_ != OrderKind::Prefetch) {
     aUpstream.failures_ = 0;
   }
--- a/src/process/rollout_shares.cpp
+++ b/src/process/rollout_shares.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t kPercent = 100;
 constexpr double kMicrosPerSecond = 1e6;
-/// Part of the weight store's rate that is kept for repeated loads.
+/// Share of an owner's load rate that is reserved for retries.
 constexpr double kRetryShare = 0.1;
 constexpr std::uint64_t kMaxReadsPerSecond = 20;
 constexpr Duration kMinReadPeriod = std::chrono::milliseconds(500);
--- a/src/process/supply_plan.cpp
+++ b/src/process/supply_plan.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Entries come and go within this of a boot or a registration.
+/// Maximum delay between the boot or end of an upstream and the change of its
+/// registration.
 constexpr auto kRegistrationLag = std::chrono::seconds(4);
 
 std::uint32_t
@@ -140,7 +141,8 @@
 {
   const auto [it, added] = ordered_.try_emplace(aPool);
   if (added) {
-    // What was there at first is what the platform was told to hold.
+    // The platform already keeps the initial upstreams, so they count as
+    // ordered.
     it->second.count_ = aServing;
   }
   return it->second;
@@ -178,13 +180,13 @@
     return {};
   }
   if (aTarget > aOrdered.count_) {
-    return "more are wanted";
+    return "more upstreams are wanted";
   }
   if (aTarget < aOrdered.count_) {
-    return "fewer are wanted";
+    return "fewer upstreams are wanted";
   }
   if (aNow >= aOrdered.repeatAt_) {
-    return "an older order may have come last";
+    return "an older order may have taken effect last";
   }
   const Duration grace = aBootTime + kRegistrationLag;
   if (aOrdered.shortSince_ != kNever && aNow - aOrdered.shortSince_ >= grace) {
@@ -250,8 +252,8 @@
       ordered.unavailableUntil_ = aNow + policy_.unavailableRetryDelay_;
       return;
     case SupplyEnd::Unknown:
-      // Sent again at once by the next plan, and once more when the lost one
-      // can no longer take effect.
+      // The next plan repeats the order at once. It is sent once more when the
+      // lost one can no longer take effect.
       ordered.repeatAt_ = aNow + policy_.maxEffectDelay_;
       return;
   }
--- a/src/process/usage_ledger.cpp
+++ b/src/process/usage_ledger.cpp
@@ -35,7 +35,7 @@
     return window;
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
-                  std::string("a settled window is unreadable: ") +
+                  std::string("cannot parse settled usage window: ") +
                     failure.what() };
   }
 }
@@ -59,7 +59,7 @@
   requestedAt_.clear();
   const UsageWindow present = WindowOf(aNow, policy_.window_);
   next_ = settled_.empty() ? present : settled_.rbegin()->first + 1;
-  // Of windows longer ago nobody holds counts any more.
+  // Gateways no longer hold counts of older windows.
   const auto retained =
     static_cast<UsageWindow>(UsageMeter::kRetention / policy_.window_);
   if (present > retained) {
--- a/src/process/weight_plan.cpp
+++ b/src/process/weight_plan.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// An upstream so many versions behind serves no step.
+/// An upstream this many versions behind cannot serve a step.
 constexpr std::uint64_t kUnusableGap = 2;
 
 std::size_t
@@ -50,11 +50,11 @@
 }
 
 std::vector<std::string>
-WeightPlan::ModelNames(const Members& aMembers)
+WeightPlan::ModelNames(const ServiceUpstreams& aService)
 {
   std::set<std::string> models;
-  for (const Member& member : aMembers) {
-    for (const auto& [model, version] : member.upstream_->versions_) {
+  for (const ServiceUpstream& entry : aService) {
+    for (const auto& [model, version] : entry.upstream_->versions_) {
       models.insert(model);
     }
   }
@@ -90,12 +90,12 @@
 }
 
 std::map<std::string, std::size_t>
-WeightPlan::CountReplicas(const Members& aMembers)
+WeightPlan::CountReplicas(const ServiceUpstreams& aService)
 {
   std::map<std::string, std::size_t> counts;
-  examined_ += aMembers.size();
-  for (const Member& member : aMembers) {
-    for (const std::string& model : *member.models_) {
+  examined_ += aService.size();
+  for (const ServiceUpstream& entry : aService) {
+    for (const std::string& model : *entry.models_) {
       ++counts[model];
     }
   }
@@ -133,7 +133,7 @@
 }
 
 std::optional<double>
-WeightPlan::UpstreamsForBurst(const Members& aMembers,
+WeightPlan::UpstreamsForBurst(const ServiceUpstreams& aService,
                               const std::string& aModel) const
 {
   const auto burst = peakDemand_.find(aModel);
@@ -141,20 +141,20 @@
     return std::nullopt;
   }
   std::uint64_t slots = 0;
-  for (const Member& member : aMembers) {
-    slots += member.upstream_->slots_;
+  for (const ServiceUpstream& entry : aService) {
+    slots += entry.upstream_->slots_;
   }
   return static_cast<double>(burst->second) *
-         static_cast<double>(aMembers.size()) /
+         static_cast<double>(aService.size()) /
          static_cast<double>(std::max<std::uint64_t>(slots, 1));
 }
 
 std::map<std::string, std::size_t>
-WeightPlan::TargetReplicas(const Members& aMembers,
+WeightPlan::TargetReplicas(const ServiceUpstreams& aService,
                            const std::vector<std::string>& aModels)
 {
   using Seconds = std::chrono::duration<double>;
-  // Versions named a second, each of which half of its homes load.
+  // Versions per second; half of the replicas load each one.
   double versions = 0;
   for (const std::string& model : aModels) {
     const auto latest = latest_.find(model);
@@ -165,58 +165,59 @@
                                Seconds(policy_.loadTime_).count());
   }
   const double loads = policy_.loadUtilization_ *
-                       ConcurrentLoads(aMembers.size()) /
+                       ConcurrentLoads(aService.size()) /
                        Seconds(policy_.loadTime_).count();
-  const auto upstreams = static_cast<double>(aMembers.size());
+  const auto upstreams = static_cast<double>(aService.size());
   const auto models = static_cast<double>(aModels.size());
   const double sustainable = loads / (versions * policy_.newestShare_);
-  std::map<std::string, std::size_t> shares;
+  std::map<std::string, std::size_t> targets;
   for (const std::string& model : aModels) {
-    double least = upstreams / models;
-    double wanted = policy_.maxReplicasPerUpstream_ * upstreams / models;
-    if (const auto burst = UpstreamsForBurst(aMembers, model)) {
-      least = std::min(least, *burst);
-      wanted = std::min(wanted, policy_.burstHeadroom_ * *burst);
+    double minReplicas = upstreams / models;
+    double maxReplicas = policy_.maxReplicasPerUpstream_ * upstreams / models;
+    if (const auto burst = UpstreamsForBurst(aService, model)) {
+      minReplicas = std::min(minReplicas, *burst);
+      maxReplicas = std::min(maxReplicas, policy_.burstHeadroom_ * *burst);
     }
-    const double share =
-      std::clamp(sustainable, least, std::max(wanted, least));
-    shares[model] = std::clamp<std::size_t>(
-      static_cast<std::size_t>(std::lround(share)), 1, aMembers.size());
+    const double target =
+      std::clamp(sustainable, minReplicas, std::max(maxReplicas, minReplicas));
+    targets[model] = std::clamp<std::size_t>(
+      static_cast<std::size_t>(std::lround(target)), 1, aService.size());
   }
-  return shares;
+  return targets;
 }
 
-/// Where versions differ, the models that are least behind were at home there
-/// under the holder before. Then a model's homes are spread over the zones,
-/// so that a cut leaves it some.
+/// Prefers upstreams with the smallest version gap: under the previous holder
+/// they were replicas of the model. Then spreads the replicas of a model over
+/// the zones, so that the loss of a zone leaves some.
 ///
-/// Only the count of homes of a zone changes while homes are added, so that the
-/// candidates of each zone are put into order once.
+/// While replicas are added, only the number of replicas per zone changes, so
+/// the candidates of each zone are sorted once.
 void
 WeightPlan::AddReplicas(const std::string& aModel,
                         std::size_t aCount,
                         std::size_t aMaxPerUpstream,
-                        const Members& aMembers)
+                        const ServiceUpstreams& aService)
 {
-  /// More homes than others, versions behind, homes, place in the service.
+  /// Whether it has the maximum number of models, versions behind, number of
+  /// models, index in the service.
   using Candidate = std::tuple<bool, std::uint64_t, std::size_t, std::size_t>;
   struct Zone
   {
     std::size_t replicas_ = 0;
-    /// The best one last.
+    /// Best candidate last.
     std::vector<Candidate> candidates_;
   };
   std::map<ZoneId, Zone> zones;
-  examined_ += aMembers.size();
-  for (std::size_t i = 0; i < aMembers.size(); ++i) {
-    const Member& member = aMembers[i];
-    Zone& zone = zones[member.upstream_->zone_];
-    if (member.models_->contains(aModel)) {
+  examined_ += aService.size();
+  for (std::size_t i = 0; i < aService.size(); ++i) {
+    const ServiceUpstream& entry = aService[i];
+    Zone& zone = zones[entry.upstream_->zone_];
+    if (entry.models_->contains(aModel)) {
       ++zone.replicas_;
     } else {
-      zone.candidates_.emplace_back(member.models_->size() >= aMaxPerUpstream,
-                                    VersionsBehind(*member.upstream_, aModel),
-                                    member.models_->size(),
+      zone.candidates_.emplace_back(entry.models_->size() >= aMaxPerUpstream,
+                                    VersionsBehind(*entry.upstream_, aModel),
+                                    entry.models_->size(),
                                     i);
     }
   }
@@ -237,25 +238,27 @@
         best = &zone;
       }
     }
-    aMembers[std::get<3>(best->candidates_.back())].models_->insert(aModel);
+    aService[std::get<3>(best->candidates_.back())].models_->insert(aModel);
     best->candidates_.pop_back();
     ++best->replicas_;
   }
 }
 
-/// The models that are furthest behind go: they are served elsewhere already.
+/// Removes the models that are furthest behind, because other upstreams serve
+/// them already.
 void
-WeightPlan::TrimReplicas(std::size_t aMaxPerUpstream, const Members& aMembers)
+WeightPlan::TrimReplicas(std::size_t aMaxPerUpstream,
+                         const ServiceUpstreams& aService)
 {
-  for (const Member& member : aMembers) {
-    std::set<std::string>& home = *member.models_;
-    while (home.size() > aMaxPerUpstream) {
-      home.erase(std::max_element(
-        home.begin(),
-        home.end(),
+  for (const ServiceUpstream& entry : aService) {
+    std::set<std::string>& assigned = *entry.models_;
+    while (assigned.size() > aMaxPerUpstream) {
+      assigned.erase(std::max_element(
+        assigned.begin(),
+        assigned.end(),
         [&](const std::string& aLeft, const std::string& aRight) {
-          return VersionsBehind(*member.upstream_, aLeft) <
-                 VersionsBehind(*member.upstream_, aRight);
+          return VersionsBehind(*entry.upstream_, aLeft) <
+                 VersionsBehind(*entry.upstream_, aRight);
         }));
     }
   }
@@ -264,18 +267,16 @@
 void
 WeightPlan::RemoveReplicas(const std::string& aModel,
                            std::size_t aCount,
-                           const Members& aMembers)
+                           const ServiceUpstreams& aService)
 {
-  /// Too old to serve a step, models at home there.
+  /// Whether too old to serve a step, number of models.
   using Rank = std::pair<bool, std::size_t>;
   std::vector<std::pair<Rank, std::set<std::string>*>> replicas;
-  examined_ += aMembers.size();
-  for (const Member& member : aMembers) {
-    if (member.models_->contains(aModel)) {
-      const bool old =
-        VersionsBehind(*member.upstream_, aModel) >= kUnusableGap;
-      replicas.emplace_back(Rank{ old, member.models_->size() },
-                            member.models_);
+  examined_ += aService.size();
+  for (const ServiceUpstream& entry : aService) {
+    if (entry.models_->contains(aModel)) {
+      const bool old = VersionsBehind(*entry.upstream_, aModel) >= kUnusableGap;
+      replicas.emplace_back(Rank{ old, entry.models_->size() }, entry.models_);
     }
   }
   std::stable_sort(replicas.begin(),
@@ -289,49 +290,50 @@
 }
 
 void
-WeightPlan::AssignReplicas(const Members& aMembers)
+WeightPlan::AssignReplicas(const ServiceUpstreams& aService)
 {
-  const std::vector<std::string> models = ModelNames(aMembers);
+  const std::vector<std::string> models = ModelNames(aService);
   if (models.empty()) {
     return;
   }
-  const std::map<std::string, std::size_t> shares =
-    TargetReplicas(aMembers, models);
-  const std::map<std::string, std::size_t> before = CountReplicas(aMembers);
+  const std::map<std::string, std::size_t> targets =
+    TargetReplicas(aService, models);
+  const std::map<std::string, std::size_t> before = CountReplicas(aService);
   std::size_t replicas = 0;
-  for (const auto& [model, share] : shares) {
+  for (const auto& [model, target] : targets) {
     const std::size_t count = CountOf(before, model);
-    if (count > share) {
-      RemoveReplicas(model, count - share, aMembers);
+    if (count > target) {
+      RemoveReplicas(model, count - target, aService);
     }
-    replicas += share;
+    replicas += target;
   }
-  const std::size_t most = (replicas + aMembers.size() - 1) / aMembers.size();
-  TrimReplicas(most, aMembers);
-  const std::map<std::string, std::size_t> left = CountReplicas(aMembers);
-  for (const auto& [model, share] : shares) {
-    const std::size_t count = CountOf(left, model);
-    if (count < share) {
-      AddReplicas(model, share - count, most, aMembers);
+  const std::size_t maxPerUpstream =
+    (replicas + aService.size() - 1) / aService.size();
+  TrimReplicas(maxPerUpstream, aService);
+  const std::map<std::string, std::size_t> after = CountReplicas(aService);
+  for (const auto& [model, target] : targets) {
+    const std::size_t count = CountOf(after, model);
+    if (count < target) {
+      AddReplicas(model, target - count, maxPerUpstream, aService);
     }
   }
 }
 
 void
-WeightPlan::PlanService(const Members& aMembers,
+WeightPlan::PlanService(const ServiceUpstreams& aService,
                         std::vector<PlannedLoad>& aLoads)
 {
-  AssignReplicas(aMembers);
-  const std::map<std::string, std::size_t> replicas = CountReplicas(aMembers);
+  AssignReplicas(aService);
+  const std::map<std::string, std::size_t> replicas = CountReplicas(aService);
   std::uint32_t busy = 0;
   std::map<std::string, std::uint32_t> busyOfModel;
   std::map<std::string, double> newest;
   std::vector<std::tuple<std::uint64_t, const PlanUpstream*, std::string>>
     wanted;
-  for (const Member& member : aMembers) {
-    const PlanUpstream& upstream = *member.upstream_;
+  for (const ServiceUpstream& entry : aService) {
+    const PlanUpstream& upstream = *entry.upstream_;
     busy += upstream.busy_ ? 1 : 0;
-    for (const std::string& model : *member.models_) {
+    for (const std::string& model : *entry.models_) {
       const std::uint64_t gap = VersionsBehind(upstream, model);
       newest[model] += upstream.busy_ || gap == 0 ? 1 : 0;
       if (upstream.busy_) {
@@ -351,21 +353,22 @@
       };
       return rank(aLeft) < rank(aRight);
     });
-  const std::uint32_t atOnce = ConcurrentLoads(aMembers.size());
+  const std::uint32_t maxLoads = ConcurrentLoads(aService.size());
   std::set<UpstreamId> chosen;
   for (const auto& [gap, upstream, model] : wanted) {
-    if (busy >= atOnce) {
+    if (busy >= maxLoads) {
       break;
     }
-    // The larger half of a model's upstreams goes on serving.
-    const std::size_t home = CountOf(replicas, model);
-    const std::size_t most = std::max<std::size_t>(1, home / 2);
+    // At least half of a model's replicas keep serving, unless there is only
+    // one.
+    const std::size_t count = CountOf(replicas, model);
+    const std::size_t maxBusy = std::max<std::size_t>(1, count / 2);
     const bool enough =
-      newest[model] >= policy_.newestShare_ * static_cast<double>(home);
+      newest[model] >= policy_.newestShare_ * static_cast<double>(count);
     if (gap < kUnusableGap && enough) {
       continue;
     }
-    if (busyOfModel[model] >= most || !chosen.insert(upstream->id_).second) {
+    if (busyOfModel[model] >= maxBusy || !chosen.insert(upstream->id_).second) {
       continue;
     }
     ++busy;
@@ -380,7 +383,7 @@
 WeightPlan::Next(const std::vector<PlanUpstream>& aUpstreams)
 {
   examined_ = 0;
-  std::map<ServiceId, Members> services;
+  std::map<ServiceId, ServiceUpstreams> services;
   std::set<UpstreamId> present;
   for (const PlanUpstream& upstream : aUpstreams) {
     services[upstream.service_].push_back(
@@ -391,8 +394,8 @@
     return !present.contains(aEntry.first);
   });
   std::vector<PlannedLoad> loads;
-  for (const auto& [service, members] : services) {
-    PlanService(members, loads);
+  for (const auto& [service, upstreams] : services) {
+    PlanService(upstreams, loads);
   }
   return loads;
 }
--- a/tests/plan_fleet.hpp
+++ b/tests/plan_fleet.hpp
@@ -1,11 +1,11 @@
-/// A fleet for plans of weights.
+/// A fleet for tests of weight plans.
 #pragma once
 
 #include "marjoramtally/process.hpp"
 
 namespace marjoramtally::test {
 
-/// Upstreams with all models in their first version.
+/// @returns upstreams that hold the first version of all models
 inline std::vector<PlanUpstream>
 MakeFleet(int aUpstreams, int aModels)
 {
--- a/tests/rollout_owner.hpp
+++ b/tests/rollout_owner.hpp
@@ -1,4 +1,4 @@
-/// An owner and fake engines on a paused clock, for tests of rollouts.
+/// An owner and fake engines on a simulated clock, for tests of rollouts.
 #pragma once
 
 #include "marjoramtally/process/rollout.hpp"
@@ -12,8 +12,8 @@
 inline const ServiceId kService{ "lm" };
 inline const UpstreamId kEngine{ "engine-1" };
 
-/// An engine that takes effect at once; tests decide when orders arrive and
-/// whether answers do.
+/// An engine on which orders take effect at once. Tests decide when orders
+/// arrive and whether replies do.
 struct FakeEngine
 {
   bool checks_ = true;
@@ -48,14 +48,14 @@
   return policy;
 }
 
-/// One owner with its own view of time and lease.
+/// One owner with its own clock and lease.
 struct Owner
 {
   Rollout rollout_{ MakePolicy(), 1 };
   TimePoint now_;
   std::map<UpstreamId, FakeEngine*> engines_;
   std::vector<RolloutNoticeKind> notices_;
-  /// Decides how an order ends; by default the engine does.
+  /// Decides how an order ends; by default, the engine does.
   std::function<OrderEnd(const SendOrder&, FakeEngine&)> onOrder_ =
     [](const SendOrder& aOrder, FakeEngine& aEngine) {
       return aEngine.Take(aOrder);
@@ -91,8 +91,8 @@
       notices_.push_back(std::get<RolloutNotice>(aAction).kind_);
     }
   }
-  /// Runs for a while in steps of 50 ms; the lease holds unless `aLeased` is
-  /// not set.
+  /// Runs for this long in steps of 50 ms. The lease is renewed if `aLeased` is
+  /// set.
   void Run(Duration aFor, bool aLeased = true)
   {
     const TimePoint end = now_ + aFor;
--- a/tests/rollout_simulation.cpp
+++ b/tests/rollout_simulation.cpp
@@ -9,7 +9,7 @@
 
 const ServiceId kService{ "lm" };
 constexpr auto kLoadTime = std::chrono::milliseconds(900);
-/// The share of its groups that a trainer waits for.
+/// Share of its groups that a trainer waits for.
 constexpr double kAwaitedShare = 0.9;
 constexpr auto kStepDeadline = std::chrono::milliseconds(7500);
 constexpr auto kStepTimeout = std::chrono::seconds(12);
@@ -103,14 +103,14 @@
 void
 RolloutSimulation::Place(Trainer& aTrainer)
 {
-  const WeightVersion least{ std::max<std::uint64_t>(aTrainer.step_, 1) };
+  const WeightVersion minVersion{ std::max<std::uint64_t>(aTrainer.step_, 1) };
   if (!aTrainer.open_) {
     return;
   }
   Step& step = *aTrainer.open_;
   for (const ItemIndex index : step.ledger_.Waiting(now_)) {
     const BoardUpstream* picked = aTrainer.board_.PickForItem(
-      { kService, aTrainer.model_, least, {}, {} }, now_);
+      { kService, aTrainer.model_, minVersion, {}, {} }, now_);
     if (picked == nullptr) {
       return;
     }
@@ -194,7 +194,7 @@
   result_.onTime_ += taken <= Duration{ kStepDeadline } ? 1 : 0;
   result_.meanStep_ += taken;
   result_.longestStep_ = std::max(result_.longestStep_, taken);
-  // The trainer ends the step: what still runs is broken off.
+  // The trainer ends the step; runs still in progress are cancelled.
   for (Upstream& upstream : upstreams_) {
     const auto ended = [&](const Item* aItem) {
       const bool ours = &trainers_[aItem->trainer_] == &aTrainer;
--- a/tests/rollout_simulation.hpp
+++ b/tests/rollout_simulation.hpp
@@ -1,7 +1,6 @@
-/// Plays training steps on a fleet in simulated time: the real plan of weights,
-/// a real ledger for each step and a real board for its owner, on upstreams
-/// that share their slots, slow down as they fill and stand still while weights
-/// change.
+/// Simulates training steps on a fleet: the real weight plan, a real ledger for
+/// each step and a real board for its owner, with upstreams that share their
+/// slots, slow down as they fill and stop while weights change.
 #pragma once
 
 #include "marjoramtally/process.hpp"
@@ -17,48 +16,50 @@
 {
   std::size_t groups_ = 0;
   std::size_t groupItems_ = 0;
-  /// Mean length of most texts; one in twelve is five times as long.
+  /// Mean length of most texts in events; one text in twelve is five times as
+  /// long.
   double events_ = 18.0;
 };
 
-/// The fleet and the load.
+/// The fleet and its load.
 struct SimulationSetup
 {
   std::size_t upstreams_ = 8;
   std::size_t zones_ = 3;
   std::uint32_t slots_ = 8;
-  /// For each trainer.
+  /// One entry for each trainer.
   std::vector<StepSize> trainers_{ { 6, 8 }, { 12, 4 }, { 7, 4 } };
   std::size_t steps_ = 12;
   Duration stepTime_ = std::chrono::seconds(4);
   Duration trainTime_ = std::chrono::seconds(1);
-  /// An event of an upstream with one run, and how much longer each further
-  /// run makes it.
+  /// Duration of an event on an upstream with one run, and the relative
+  /// slowdown for each further run.
   double eventMillis_ = 25.0;
   double slowdownOfRun_ = 0.035;
   std::uint32_t maxEvents_ = 176;
-  /// The plan sees the upstreams one after the other, not all at once.
+  /// Whether the plan sees the upstreams one after the other instead of all at
+  /// once.
   bool registerInTurn_ = false;
   WeightPlanPolicy plan_;
   JobPolicy job_;
   std::uint64_t seed_ = 1;
 };
 
-/// What the trainers got.
+/// Results for the trainers.
 struct SimulationResult
 {
   std::size_t steps_ = 0;
-  /// Steps whose awaited groups were whole within 7.5 s.
+  /// Steps with all awaited groups complete within 7.5 s.
   std::size_t onTime_ = 0;
-  /// Mean time until the awaited groups of a step were whole.
+  /// Mean time until the awaited groups of a step were complete.
   Duration meanStep_{ 0 };
   Duration longestStep_{ 0 };
-  /// Groups that were whole within 7.5 s of their step.
+  /// Groups that were complete within 7.5 s of the start of their step.
   std::size_t groupsOnTime_ = 0;
   std::size_t loads_ = 0;
 };
 
-/// One play. Advances in ticks of 10 ms.
+/// One simulation. Advances in ticks of 10 ms.
 class RolloutSimulation
 {
 public:
@@ -72,7 +73,7 @@
     std::uint64_t step_ = 0;
     std::size_t group_ = 0;
     ItemIndex index_ = 0;
-    /// Events still to make.
+    /// Events still to generate.
     double left_ = 0;
     std::size_t upstream_ = kNowhere;
   };
@@ -81,9 +82,9 @@
     TimePoint begun_;
     JobLedger ledger_;
     std::vector<Item*> items_;
-    /// Items of each group that are not whole.
+    /// Number of incomplete items of each group.
     std::vector<std::size_t> open_;
-    /// Groups that the trainer still waits for.
+    /// Number of groups that the trainer still waits for.
     std::size_t awaited_ = 0;
   };
   struct Trainer
--- a/tests/test_load_limit.cpp
+++ b/tests/test_load_limit.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// A store of weights that bears some loads at once; with more, each takes
-/// longer. As many loads as may be are always under way.
+/// A weight store that sustains a number of concurrent loads; with more, each
+/// takes longer. Loads in progress always fill the limit.
 struct WeightStoreSimulation
 {
   std::uint32_t capacity_ = 9;
   LoadLimit limit_{ 2 };
   std::uint32_t first_ = 18;
 
-  /// @returns the mean time of a load in the last half of the play
+  /// @returns the mean time of a load in the second half of the simulation
   [[nodiscard]] Duration Run(Duration aTime)
   {
     std::deque<std::pair<TimePoint, Duration>> loads;
@@ -45,7 +45,7 @@
   }
 };
 
-/// A store of weights that shares its rate among the loads under way.
+/// A weight store that divides its rate among the loads in progress.
 struct SharedWeightStore
 {
   static constexpr auto kStep = 10ms;
@@ -55,16 +55,16 @@
   {
     TimePoint begun_;
     double left_ = 1;
-    /// Its share of the rate, if it keeps the one that it began with.
+    /// Its share of the rate, if loads keep the share that they began with.
     double share_ = 0;
   };
 
   std::uint32_t capacity_ = 9;
   std::uint32_t first_ = 419;
-  /// Loads that are wanted anew each second; 0: always as many as may be.
+  /// New loads wanted each second; 0 keeps the number in progress at the limit.
   std::size_t wantedPerSecond_ = 0;
   std::size_t wanted_ = 0;
-  /// Loads keep the share of the rate that they began with.
+  /// Whether loads keep the share of the rate that they began with.
   bool keepShares_ = false;
   LoadLimit limit_{ 2 };
   std::vector<Load> loads_;
@@ -122,7 +122,7 @@
 
 } // namespace
 
-TEST_CASE("as long as no load has ended, a small first guess holds")
+TEST_CASE("until a load has ended, a small initial guess is the limit")
 {
   LoadLimit limit(2);
   REQUIRE(limit.LimitFor(8) == 8);
@@ -130,13 +130,12 @@
   REQUIRE(limit.LimitFor(0) == 2);
 }
 
-TEST_CASE(
-  "a larger first guess is reached once loads are seen not to be slowed")
+TEST_CASE("a larger initial guess is reached once loads are not slowed")
 {
   LoadLimit limit(2);
   REQUIRE(limit.LimitFor(18) == 8);
   TimePoint now{ 1s };
-  // All end at once, and as many begin.
+  // All loads end at the same time, and as many begin.
   const auto endLoads = [&](Duration aTook) {
     now = now + aTook;
     const std::uint32_t count = limit.LimitFor(18);
@@ -148,20 +147,20 @@
   };
   REQUIRE(endLoads(1s) == 16);
   REQUIRE(endLoads(1s) == 18);
-  // The store bears nine, and nine tenths of them are kept in progress.
+  // The store sustains nine, nine tenths of which are used.
   REQUIRE(endLoads(2s) == 8);
 }
 
-// Ordered upstreams doubled the fleet, and a fifth of it loaded at once: 18
-// loads of 1.8 s each in place of 9 of 0.9 s.
-TEST_CASE("more loads than the store of weights bears are not kept up")
+// Ordered upstreams doubled the fleet, and a fifth of it loaded at the same
+// time: 18 loads of 1.8 s each instead of 9 of 0.9 s.
+TEST_CASE("the limit falls if it exceeds the capacity of the weight store")
 {
   WeightStoreSimulation simulation;
   REQUIRE(simulation.Run(30s) <= 1350ms);
   REQUIRE(simulation.limit_.LimitFor(18) >= 6);
 }
 
-TEST_CASE("a store that bears more is found out")
+TEST_CASE("the limit grows to the capacity of the weight store")
 {
   WeightStoreSimulation simulation;
   simulation.first_ = 3;
@@ -169,7 +168,7 @@
   REQUIRE(simulation.limit_.LimitFor(3) >= 8);
 }
 
-TEST_CASE("the limit keeps above its least")
+TEST_CASE("the limit does not fall below its minimum")
 {
   LoadLimit limit(2);
   static_cast<void>(limit.LimitFor(3));
@@ -182,22 +181,23 @@
   REQUIRE(limit.LimitFor(3) == 2);
 }
 
-// A fifth of 2,095 upstreams was told to load at once, which the store bore 9
-// of: each load took 46 times as long, none was seen to end, so nothing was
-// learned, and all were ordered anew on top. A third of a day was served.
-TEST_CASE("a fleet that is large beside its store of weights keeps loading")
+// A fifth of 2,095 upstreams was ordered to load at the same time, while the
+// store sustained 9 loads. Each load took 46 times as long and none was seen to
+// end, so the limit did not adapt and all loads were ordered again. Only a
+// third of a day's requests was served.
+TEST_CASE("a fleet much larger than the store's capacity keeps loading")
 {
   SharedWeightStore store;
   store.Run(10s);
-  // Within a few seconds it is known what the store bears.
+  // The capacity of the store is known within a few seconds.
   store.Run(30s);
-  // None takes over half as long again as alone.
+  // No load takes more than 1.5 times as long as a single one.
   REQUIRE(store.longest_ <= 1500ms);
-  // Nine tenths of what it can do.
+  // Nine tenths of its capacity.
   REQUIRE(store.ended_ >= 30 * 9 * 9 / 10);
 }
 
-TEST_CASE("a store that bears the first guess is used within some seconds")
+TEST_CASE("a store that sustains the initial guess is used within seconds")
 {
   SharedWeightStore store;
   store.capacity_ = 430;
@@ -207,10 +207,11 @@
   REQUIRE(store.longest_ <= 1500ms);
 }
 
-// Versions were wanted in bursts that used the limit up for a moment each. The
-// first loads of a burst to end are those that were slowed least, and added up
-// over bursts they took the limit to 64 where 20 are borne.
-TEST_CASE("the limit does not run away with bursts that use it up for a moment")
+// Bursts of wanted versions reached the limit only for a moment each. The first
+// loads of a burst to end are those that were slowed least, and added up over
+// bursts they raised the limit to 64 where the store sustains 20.
+TEST_CASE(
+  "bursts that reach the limit for a moment do not raise it unboundedly")
 {
   SharedWeightStore store;
   store.capacity_ = 20;
@@ -221,7 +222,7 @@
   REQUIRE(store.largest_ <= 2 * store.capacity_);
 }
 
-TEST_CASE("loads that are slowed are seen however long others were not")
+TEST_CASE("slowed loads are detected after a long time without any")
 {
   LoadLimit limit(2);
   const std::uint32_t first = limit.LimitFor(8);
@@ -238,7 +239,7 @@
   REQUIRE(limit.LimitFor(8) <= first / 2);
 }
 
-TEST_CASE("single upstreams that load slowly do not shrink the limit")
+TEST_CASE("single upstreams that load slowly do not reduce the limit")
 {
   LoadLimit limit(2);
   const std::uint32_t first = limit.LimitFor(8);
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -5,7 +5,7 @@
 using namespace marjoramtally;
 using namespace marjoramtally::test;
 
-TEST_CASE("an upstream is loaded ahead, then switched")
+TEST_CASE("weights are prefetched, then switched")
 {
   FakeEngine engine;
   Owner owner;
@@ -23,7 +23,7 @@
   CHECK(owner.Noticed(RolloutNoticeKind::Settled));
 }
 
-TEST_CASE("an order's end from before the upstream was lost is ignored")
+TEST_CASE("the end of an order sent before the upstream was lost is ignored")
 {
   FakeEngine engine;
   Owner owner;
@@ -43,14 +43,14 @@
   const SendOrder old = held.front();
   owner.rollout_.OnLost(kEngine);
   owner.Own(kEngine, engine, 3);
-  // The announcement of the new term is under way when the old end comes.
+  // The announcement of the new term is in progress when the old end arrives.
   owner.rollout_.OnLease(owner.now_ + 10s);
   REQUIRE(owner.rollout_.Decide(owner.now_).size() == 1);
   owner.rollout_.OnOrderEnd(old, OrderEnd::Done, owner.now_);
   CHECK_FALSE(owner.rollout_.Idle(kEngine));
 }
 
-TEST_CASE("a failed swap is tried again, then left on its known version")
+TEST_CASE("a failed switch is retried, then the upstream keeps its version")
 {
   FakeEngine engine;
   Owner owner;
@@ -79,7 +79,7 @@
   CHECK(engine.Served() == 3);
 }
 
-TEST_CASE("swaps that lose what was loaded use up the tries all the same")
+TEST_CASE("switches that lose the loaded weights count as failed attempts")
 {
   FakeEngine engine;
   Owner owner;
@@ -96,7 +96,7 @@
   CHECK(owner.Noticed(RolloutNoticeKind::OutOfRotation));
 }
 
-TEST_CASE("many owners with small shares do not load at once")
+TEST_CASE("many owners with small shares do not load at the same time")
 {
   Random random(3);
   std::uint64_t taken = 0;
@@ -108,12 +108,13 @@
       taken += permits.Take(now + Duration(1s) * second, false) ? 1 : 0;
     }
   }
-  // 400 owners of 0.2 a second, less what is kept for retries: 72 a second.
+  // 400 owners of 0.2 loads per second, less the share reserved for retries: 72
+  // per second.
   CHECK(taken > 50);
   CHECK(taken < 110);
 }
 
-TEST_CASE("no more upstreams switch at once than slots, those down included")
+TEST_CASE("switching and unavailable upstreams together stay within the slots")
 {
   std::array<FakeEngine, 6> engines;
   Owner owner;
@@ -144,7 +145,7 @@
   };
   CHECK(switching(2) == 2);
   owner.Run(3s);
-  // One engine loses its weights and cannot load: one slot is left.
+  // One engine loses its weights and cannot load, which leaves one slot.
   engines[0].state_ = {};
   owner.onOrder_ = [&](const SendOrder& aOrder, FakeEngine& aEngine) {
     return &aEngine == engines.data() ? OrderEnd::StoreBusy
@@ -154,7 +155,7 @@
   CHECK(switching(3) == 1);
 }
 
-TEST_CASE("shares add up to what there is and rise only after a while")
+TEST_CASE("shares add up to the total and increase only after the hold time")
 {
   CHECK(SwitchSlots(1600, 90, 0) == 160);
   CHECK(SwitchSlots(1600, 90, 50) == 50);
--- a/tests/test_rollout_simulation.cpp
+++ b/tests/test_rollout_simulation.cpp
@@ -1,4 +1,5 @@
-/// Training steps played on a fleet: what trainers get by which policy.
+/// Simulated training steps on a fleet: results for trainers under several
+/// policies.
 
 #include "rollout_simulation.hpp"
 
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// The same play under several seeds, added up.
+/// Runs the same simulation with several seeds and adds up the results.
 SimulationResult
 SimulateSeeds(SimulationSetup aSetup, std::int64_t aSeeds = 10)
 {
@@ -36,21 +37,21 @@
 
 } // namespace
 
-TEST_CASE("shared homes make steps whole sooner for few more loads")
+TEST_CASE("replicas of several models per upstream complete steps sooner")
 {
   SimulationSetup setup;
   const SimulationResult shared = SimulateSeeds(setup);
   setup.plan_.maxReplicasPerUpstream_ = 1.0;
   const SimulationResult apart = SimulateSeeds(setup);
-  WARN("mean step " << Seconds(apart.meanStep_) << " s with one home, "
+  WARN("mean step " << Seconds(apart.meanStep_)
+                    << " s with one model per upstream, "
                     << Seconds(shared.meanStep_) << " s with 1.5; loads "
                     << apart.loads_ << " and " << shared.loads_);
   REQUIRE(shared.meanStep_ < apart.meanStep_ * 9 / 10);
   REQUIRE(shared.onTime_ == shared.steps_);
 }
 
-TEST_CASE(
-  "short of upstreams, finishing groups in turn makes more of them whole")
+TEST_CASE("short of upstreams, finishing groups in turn completes more of them")
 {
   SimulationSetup setup;
   setup.upstreams_ = 3;
@@ -68,9 +69,9 @@
 
 namespace {
 
-/// Eight trainers on 77 upstreams of six places. An event takes 70 ms with one
-/// run and 74 ms with six; steps hold 80 to 128 items of 6 to 13 events in the
-/// mean and 93 at most.
+/// Eight trainers on 77 upstreams of six slots. An event takes 70 ms with one
+/// run and 74 ms with six; steps hold 80 to 128 items of 6 to 13 events on
+/// average and at most 93.
 SimulationSetup
 LargeFleet()
 {
@@ -90,7 +91,7 @@
 
 } // namespace
 
-TEST_CASE("steps are whole as soon on upstreams that registered in turn")
+TEST_CASE("steps complete as soon on upstreams that registered in turn")
 {
   constexpr std::int64_t kSeeds = 2;
   SimulationSetup setup = LargeFleet();
--- a/tests/test_weight_demand.cpp
+++ b/tests/test_weight_demand.cpp
@@ -1,4 +1,4 @@
-/// Homes and loads of models against what their items want.
+/// Replicas and loads of models compared with the demand of their items.
 
 #include "plan_fleet.hpp"
 
@@ -11,13 +11,14 @@
 
 constexpr TimePoint kStart{ std::chrono::seconds(100) };
 
-/// Trainers that name a version each 4 s, in turn, before a fleet.
+/// Trainers that announce a version every 4 s, in turn, and a fleet that loads
+/// them.
 struct DemandSimulation
 {
   static constexpr int kModels = 4;
   static constexpr std::uint64_t kBurst = 240;
   static constexpr std::uint32_t kSlots = 6;
-  /// Of 100 ms.
+  /// Ticks of 100 ms.
   static constexpr int kLoadTicks = 11;
   static constexpr int kVersionTicks = 40;
 
@@ -77,7 +78,8 @@
     return WeightVersion{ 2 + static_cast<std::uint64_t>(named) };
   }
 
-  /// @returns places that may serve the newest step of a model
+  /// @returns the slots of upstreams outside zone `aLost` that can serve the
+  /// newest step of a model
   [[nodiscard]] std::uint64_t UsableSlots(int aTick,
                                           int aModel,
                                           const ZoneId& aLost) const
@@ -95,10 +97,11 @@
 
 } // namespace
 
-// With 3,000 upstreams a version was ordered to some hundred, for bursts that
-// have use for forty: the holder of the duty sent two hundred orders a second,
-// and the store of weights was busy with loads for nobody.
-TEST_CASE("loads follow what items have use for, however large the fleet is")
+// The number of replicas grew with the fleet: with 3,000 upstreams a version
+// was ordered for some hundred of them, for bursts that need forty. The holder
+// of the duty sent two hundred orders per second, and the weight store served
+// loads that no item needed.
+TEST_CASE("the number of loads follows demand, not the size of the fleet")
 {
   constexpr int kTicks = 400;
   const auto loadsOf = [](int aUpstreams) {
@@ -119,11 +122,11 @@
   const int upstreams = GENERATE(600, 3000);
   const int lost = GENERATE(0, 1, 2);
   DemandSimulation simulation(upstreams);
-  // Ten versions, the first of which every upstream can serve.
+  // Ten versions; every upstream can serve the first one.
   for (int tick = 0; tick < 10 * DemandSimulation::kVersionTicks; ++tick) {
     simulation.Tick(tick);
     for (int model = 0; model < DemandSimulation::kModels; ++model) {
-      // Steps are asked a while after their version was named.
+      // Steps begin a while after their version was announced.
       const int since = (tick - 10 * model) % DemandSimulation::kVersionTicks;
       if (tick >= 10 * model && since > 2 * DemandSimulation::kLoadTicks) {
         CAPTURE(tick, model);
--- a/tests/test_weight_plan.cpp
+++ b/tests/test_weight_plan.cpp
@@ -1,5 +1,5 @@
-/// The plan of weights: which upstream is home to which models, and what it
-/// loads next.
+/// The weight plan: which upstreams are replicas of which models, and what they
+/// load next.
 
 #include "plan_fleet.hpp"
 
@@ -13,7 +13,7 @@
 constexpr TimePoint kStart{ std::chrono::seconds(100) };
 const ServiceId kService{ "svc" };
 
-/// Every upstream is home to one model and is to hold its newest version.
+/// Every upstream is a replica of one model and should hold its newest version.
 WeightPlanPolicy
 LoadAll(std::uint32_t aAtOnce)
 {
@@ -35,7 +35,8 @@
   return upstream;
 }
 
-/// Plans and loads at once until nothing is left to load.
+/// Plans and completes loads at once until nothing is left to load.
+/// @returns the number of loads
 std::size_t
 LoadAllPlanned(WeightPlan& aPlan, std::vector<PlanUpstream>& aFleet)
 {
@@ -56,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a new version is loaded only where its model is at home")
+TEST_CASE("a new version is loaded only by replicas of its model")
 {
   WeightPlan plan(LoadAll(8));
   std::vector<PlanUpstream> fleet;
@@ -82,7 +83,7 @@
   }
 }
 
-TEST_CASE("half of a model's upstreams go on serving while others load")
+TEST_CASE("half of a model's replicas keep serving while others load")
 {
   WeightPlan plan(LoadAll(8));
   std::vector<PlanUpstream> fleet;
@@ -99,7 +100,7 @@
   REQUIRE(plan.Next(fleet).empty());
 }
 
-TEST_CASE("loads at once are bounded over all models")
+TEST_CASE("concurrent loads are limited over all models")
 {
   WeightPlan plan(LoadAll(2));
   std::vector<PlanUpstream> fleet;
@@ -111,7 +112,7 @@
   REQUIRE(plan.Next(fleet).size() == 2);
 }
 
-TEST_CASE("a next holder keeps homes by the versions it finds")
+TEST_CASE("a new holder restores replicas from the versions it finds")
 {
   WeightPlan plan(LoadAll(8));
   plan.OnVersionAnnounced("a", WeightVersion{ 9 }, kStart);
@@ -126,7 +127,7 @@
   REQUIRE(plan.FirstModelAt(UpstreamId{ "u1" }) == "b");
 }
 
-TEST_CASE("when upstreams go, a model without any gets one of the others")
+TEST_CASE("a model that loses all replicas gets a new one")
 {
   WeightPlan plan(LoadAll(8));
   std::vector<PlanUpstream> fleet;
@@ -143,7 +144,7 @@
   REQUIRE(loads.front().model_ == "b");
 }
 
-TEST_CASE("one upstream for two models is at home for both")
+TEST_CASE("a single upstream is a replica of both models")
 {
   WeightPlan plan(LoadAll(8));
   plan.OnVersionAnnounced("a", WeightVersion{ 2 }, kStart);
@@ -159,7 +160,7 @@
   REQUIRE(models.size() == 2);
 }
 
-TEST_CASE("half of a model's upstreams load each version, in turn")
+TEST_CASE("half of a model's replicas load each version, in turn")
 {
   WeightPlan plan;
   std::vector<PlanUpstream> fleet;
@@ -181,7 +182,7 @@
       }
     }
     for (const PlanUpstream& upstream : fleet) {
-      // None is further behind than a step allows.
+      // No upstream is further behind than a step allows.
       REQUIRE(upstream.versions_.at("a").Get() + 1 >= version);
     }
   }
@@ -191,7 +192,7 @@
   }
 }
 
-TEST_CASE("models share upstreams without more loads than one home each costs")
+TEST_CASE("replicas of several models cost no more loads than an equal share")
 {
   WeightPlan plan;
   std::vector<PlanUpstream> fleet;
@@ -207,17 +208,17 @@
                               kStart + std::chrono::seconds(4 * version));
     }
     const std::size_t loads = LoadAllPlanned(plan, fleet);
-    // The upstreams over the models, for each of the three versions.
+    // At most one load for each upstream, summed over the three models.
     REQUIRE(loads <= 8);
     if (version < 4) {
-      // The first versions may be served anywhere.
+      // Any upstream may serve the first versions.
       continue;
     }
     for (const char* model : { "a", "b", "c" }) {
       std::set<ZoneId> zones;
       std::size_t usable = 0;
       for (const PlanUpstream& upstream : fleet) {
-        // A step takes its version and the one before.
+        // A step accepts its version and the one before.
         if (upstream.versions_.at(model).Get() + 1 >= version) {
           zones.insert(upstream.zone_);
           ++usable;
@@ -229,7 +230,7 @@
   }
 }
 
-TEST_CASE("an only model is at home everywhere")
+TEST_CASE("a single model has replicas on all upstreams")
 {
   WeightPlan plan;
   std::vector<PlanUpstream> fleet;
@@ -245,11 +246,12 @@
   }
 }
 
-TEST_CASE("a model has as many homes as loads can keep up with")
+TEST_CASE("a model has as many replicas as loads can keep up to date")
 {
-  const auto [upstreams, period, homes] =
+  const auto [upstreams, period, replicas] =
     GENERATE(table<int, int, std::size_t>({
-      // Loads at once are 2 and 7; a version comes each so many seconds.
+      // Upstreams, seconds between versions, expected replicas. The limits of
+      // concurrent loads are 2 and 7.
       { 8, 4, 4 },
       { 8, 2, 3 },
       { 35, 4, 10 },
@@ -279,10 +281,10 @@
     fleet.begin(), fleet.end(), [](const PlanUpstream& aUpstream) {
       return aUpstream.versions_.at("a").Get() + 1 >= kVersions;
     });
-  REQUIRE(static_cast<std::size_t>(usable) == homes);
+  REQUIRE(static_cast<std::size_t>(usable) == replicas);
 }
 
-TEST_CASE("homes are spread although upstreams register one after the other")
+TEST_CASE("replicas are spread although upstreams register one by one")
 {
   const int upstreams = GENERATE(2, 3, 8, 10, 35, 77, 100);
   const int models = GENERATE(1, 2, 3, 8, 12);
@@ -294,21 +296,22 @@
     present.push_back(upstream);
     REQUIRE(plan.Next(present).empty());
   }
-  std::size_t homes = 0;
-  std::size_t most = 0;
+  std::size_t replicas = 0;
+  std::size_t maxModels = 0;
   for (const PlanUpstream& upstream : all) {
-    homes += plan.CountModelsAt(upstream.id_);
-    most = std::max(most, plan.CountModelsAt(upstream.id_));
+    replicas += plan.CountModelsAt(upstream.id_);
+    maxModels = std::max(maxModels, plan.CountModelsAt(upstream.id_));
   }
-  REQUIRE(homes >= static_cast<std::size_t>(models));
+  REQUIRE(replicas >= static_cast<std::size_t>(models));
   const auto count = static_cast<std::size_t>(upstreams);
-  REQUIRE(most <= (homes + count - 1) / count + 1);
+  REQUIRE(maxModels <= (replicas + count - 1) / count + 1);
 }
 
 TEST_CASE("where loads cannot keep up, no upstream loads all the time")
 {
-  // Ten upstreams, eight models, two loads at once, a version each 4 s: as
-  // each load takes 1.1 s, 1.8 versions a second go to 2.0 a second.
+  // Ten upstreams, eight models, two concurrent loads, a version every 4 s. A
+  // load takes 1.1 s, so 1.8 loads per second are possible while 2.0 versions
+  // per second are announced.
   constexpr int kSeconds = 40;
   WeightPlan plan;
   std::vector<PlanUpstream> fleet;
@@ -351,12 +354,12 @@
   }
 }
 
-// With 3,001 upstreams the duty of orders went from holder to holder, and a
-// third of a day's requests was not served. Cause: the first plan of a holder
-// looked at all upstreams once for each home that it assigned, 13 million
-// times; its process stood still for longer than its lease, and so did the next
-// holder's. Every later plan took half a second.
-TEST_CASE("the work of a plan grows with upstreams, not with their square")
+// The first plan of a new holder examined all upstreams once for each replica
+// that it assigned: 13 million times with 3,001 upstreams. It blocked its
+// process for longer than its lease, as did that of the next holder, so the
+// duty moved from holder to holder and a third of a day's requests was not
+// served. Every later plan took half a second.
+TEST_CASE("the work of a plan is linear in the number of upstreams")
 {
   const int upstreams = GENERATE(300, 3000);
   constexpr int kModels = 8;
@@ -367,18 +370,18 @@
     plan.OnVersionAnnounced(
       "m" + std::to_string(model), WeightVersion{ 2 }, kStart);
   }
-  // A few looks at each upstream for each model.
-  constexpr std::uint64_t kMostLooks = 4;
-  const std::uint64_t bound = kMostLooks * kModels * fleet.size();
+  // A few examinations of each upstream for each model.
+  constexpr std::uint64_t kMaxExaminations = 4;
+  const std::uint64_t bound = kMaxExaminations * kModels * fleet.size();
   REQUIRE_FALSE(plan.Next(fleet).empty());
   REQUIRE(plan.ExaminedCandidates() <= bound);
   REQUIRE_FALSE(plan.Next(fleet).empty());
   REQUIRE(plan.ExaminedCandidates() <= bound);
 }
 
-// A step waits for its longest text, which a load at its upstream holds up by
-// a second or makes move.
-TEST_CASE("a version is loaded first where no long run goes on")
+// A step waits for its longest text, and a load at its upstream stalls that
+// text by a second or moves it.
+TEST_CASE("a version is loaded first where no long run is in progress")
 {
   WeightPlan plan;
   std::vector<PlanUpstream> upstreams;
@@ -397,7 +400,8 @@
   for (const PlannedLoad& load : loads) {
     REQUIRE(load.upstream_ >= UpstreamId{ "u16" });
   }
-  // Two versions behind, an upstream serves no step, whatever runs there.
+  // Two versions behind, an upstream cannot serve a step, so its long runs do
+  // not matter.
   plan.OnVersionAnnounced(
     "m", WeightVersion{ 3 }, TimePoint{ std::chrono::seconds(5) });
   for (std::size_t i = 6; i < upstreams.size(); ++i) {
