--- a/src/process/weight_plan.cpp
+++ b/src/process/weight_plan.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// An upstream so many versions behind serves no step.
-constexpr std::uint64_t kMostBehind = 2;
+/// An upstream this many versions behind cannot serve a step.
+constexpr std::uint64_t kUnusableGap = 2;
 
 std::size_t
 CountOf(const std::map<std::string, std::size_t>& aCounts,
@@ -25,36 +25,36 @@
 
 WeightPlan::WeightPlan(WeightPlanPolicy aPolicy)
   : policy_(aPolicy)
-  , limit_(aPolicy.atOnce_)
+  , limit_(aPolicy.minConcurrentLoads_)
 {
 }
 
 void
-WeightPlan::OnNamed(const std::string& aModel,
-                    WeightVersion aVersion,
-                    TimePoint aNow)
+WeightPlan::OnVersionAnnounced(const std::string& aModel,
+                               WeightVersion aVersion,
+                               TimePoint aNow)
 {
-  const auto [it, first] =
-    named_.try_emplace(aModel, Naming{ aVersion, aNow, policy_.firstPeriod_ });
-  Naming& naming = it->second;
-  if (first || aVersion <= naming.version_) {
+  const auto [it, first] = latest_.try_emplace(
+    aModel, LatestVersion{ aVersion, aNow, policy_.initialVersionPeriod_ });
+  LatestVersion& latest = it->second;
+  if (first || aVersion <= latest.version_) {
     return;
   }
   const auto steps =
-    static_cast<std::int64_t>(aVersion.Get() - naming.version_.Get());
-  const Duration change = (aNow - naming.at_) / steps - naming.period_;
-  naming.period_ += Duration{ static_cast<std::int64_t>(
-    static_cast<double>(change.count()) * policy_.periodWeight_) };
-  naming.version_ = aVersion;
-  naming.at_ = aNow;
+    static_cast<std::int64_t>(aVersion.Get() - latest.version_.Get());
+  const Duration change = (aNow - latest.at_) / steps - latest.period_;
+  latest.period_ += Duration{ static_cast<std::int64_t>(
+    static_cast<double>(change.count()) * policy_.periodSmoothing_) };
+  latest.version_ = aVersion;
+  latest.at_ = aNow;
 }
 
 std::vector<std::string>
-WeightPlan::ModelsOf(const Places& aService)
+WeightPlan::ModelNames(const ServiceUpstreams& aService)
 {
   std::set<std::string> models;
-  for (const Place& place : aService) {
-    for (const auto& [model, version] : place.upstream_->versions_) {
+  for (const ServiceUpstream& entry : aService) {
+    for (const auto& [model, version] : entry.upstream_->versions_) {
       models.insert(model);
     }
   }
@@ -62,39 +62,40 @@
 }
 
 std::string
-WeightPlan::HomeOf(const UpstreamId& aUpstream) const
+WeightPlan::FirstModelAt(const UpstreamId& aUpstream) const
 {
-  const auto it = homes_.find(aUpstream);
-  return it == homes_.end() || it->second.empty() ? std::string()
-                                                  : *it->second.begin();
+  const auto it = replicas_.find(aUpstream);
+  return it == replicas_.end() || it->second.empty() ? std::string()
+                                                     : *it->second.begin();
 }
 
 std::size_t
 WeightPlan::CountModelsAt(const UpstreamId& aUpstream) const
 {
-  const auto it = homes_.find(aUpstream);
-  return it == homes_.end() ? 0 : it->second.size();
+  const auto it = replicas_.find(aUpstream);
+  return it == replicas_.end() ? 0 : it->second.size();
 }
 
 std::uint64_t
-WeightPlan::Gap(const PlanUpstream& aUpstream, const std::string& aModel) const
+WeightPlan::VersionsBehind(const PlanUpstream& aUpstream,
+                           const std::string& aModel) const
 {
-  const auto named = named_.find(aModel);
+  const auto latest = latest_.find(aModel);
   const auto held = aUpstream.versions_.find(aModel);
-  if (named == named_.end() || held == aUpstream.versions_.end() ||
-      held->second >= named->second.version_) {
+  if (latest == latest_.end() || held == aUpstream.versions_.end() ||
+      held->second >= latest->second.version_) {
     return 0;
   }
-  return named->second.version_.Get() - held->second.Get();
+  return latest->second.version_.Get() - held->second.Get();
 }
 
 std::map<std::string, std::size_t>
-WeightPlan::CountHomes(const Places& aService)
+WeightPlan::CountReplicas(const ServiceUpstreams& aService)
 {
   std::map<std::string, std::size_t> counts;
-  looks_ += aService.size();
-  for (const Place& place : aService) {
-    for (const std::string& model : *place.home_) {
+  examined_ += aService.size();
+  for (const ServiceUpstream& entry : aService) {
+    for (const std::string& model : *entry.models_) {
       ++counts[model];
     }
   }
@@ -102,21 +103,21 @@
 }
 
 std::uint32_t
-WeightPlan::AtOnce(std::size_t aUpstreams)
+WeightPlan::ConcurrentLoads(std::size_t aUpstreams)
 {
-  return limit_.AtOnce(static_cast<std::uint32_t>(aUpstreams) /
-                       policy_.upstreamsOfLoad_);
+  return limit_.LimitFor(static_cast<std::uint32_t>(aUpstreams) /
+                         policy_.upstreamsPerLoad_);
 }
 
 void
 WeightPlan::OnDemand(const std::string& aModel,
-                     std::uint64_t aPlaces,
+                     std::uint64_t aSlots,
                      TimePoint aNow)
 {
   PeakDemand& demand =
-    demand_.try_emplace(aModel, policy_.demandMemory_).first->second;
-  demand.OnDemand(aPlaces, aNow);
-  bursts_[aModel] = demand.At(aNow);
+    demand_.try_emplace(aModel, policy_.demandWindow_).first->second;
+  demand.OnDemand(aSlots, aNow);
+  peakDemand_[aModel] = demand.At(aNow);
 }
 
 void
@@ -132,16 +133,16 @@
 }
 
 std::optional<double>
-WeightPlan::UpstreamsForBurst(const Places& aService,
+WeightPlan::UpstreamsForBurst(const ServiceUpstreams& aService,
                               const std::string& aModel) const
 {
-  const auto burst = bursts_.find(aModel);
-  if (burst == bursts_.end()) {
+  const auto burst = peakDemand_.find(aModel);
+  if (burst == peakDemand_.end()) {
     return std::nullopt;
   }
   std::uint64_t slots = 0;
-  for (const Place& place : aService) {
-    slots += place.upstream_->slots_;
+  for (const ServiceUpstream& entry : aService) {
+    slots += entry.upstream_->slots_;
   }
   return static_cast<double>(burst->second) *
          static_cast<double>(aService.size()) /
@@ -149,70 +150,74 @@
 }
 
 std::map<std::string, std::size_t>
-WeightPlan::ShareOut(const Places& aService,
-                     const std::vector<std::string>& aModels)
+WeightPlan::TargetReplicas(const ServiceUpstreams& aService,
+                           const std::vector<std::string>& aModels)
 {
   using Seconds = std::chrono::duration<double>;
-  // Versions named a second, each of which half of its homes load.
+  // Versions per second; half of the replicas load each one.
   double versions = 0;
   for (const std::string& model : aModels) {
-    const auto naming = named_.find(model);
-    const Duration period =
-      naming == named_.end() ? policy_.firstPeriod_ : naming->second.period_;
+    const auto latest = latest_.find(model);
+    const Duration period = latest == latest_.end()
+                              ? policy_.initialVersionPeriod_
+                              : latest->second.period_;
     versions += 1.0 / std::max(Seconds(period).count(),
                                Seconds(policy_.loadTime_).count());
   }
-  const double loads = policy_.loadShare_ * AtOnce(aService.size()) /
+  const double loads = policy_.loadUtilization_ *
+                       ConcurrentLoads(aService.size()) /
                        Seconds(policy_.loadTime_).count();
   const auto upstreams = static_cast<double>(aService.size());
   const auto models = static_cast<double>(aModels.size());
-  const double bearable = loads / (versions * policy_.newestShare_);
-  std::map<std::string, std::size_t> shares;
+  const double sustainable = loads / (versions * policy_.newestShare_);
+  std::map<std::string, std::size_t> targets;
   for (const std::string& model : aModels) {
-    double least = upstreams / models;
-    double wanted = policy_.mostHomes_ * upstreams / models;
+    double minReplicas = upstreams / models;
+    double maxReplicas = policy_.maxReplicasPerUpstream_ * upstreams / models;
     if (const auto burst = UpstreamsForBurst(aService, model)) {
-      least = std::min(least, *burst);
-      wanted = std::min(wanted, policy_.homePlaces_ * *burst);
+      minReplicas = std::min(minReplicas, *burst);
+      maxReplicas = std::min(maxReplicas, policy_.burstHeadroom_ * *burst);
     }
-    const double share = std::clamp(bearable, least, std::max(wanted, least));
-    shares[model] = std::clamp<std::size_t>(
-      static_cast<std::size_t>(std::lround(share)), 1, aService.size());
+    const double target =
+      std::clamp(sustainable, minReplicas, std::max(maxReplicas, minReplicas));
+    targets[model] = std::clamp<std::size_t>(
+      static_cast<std::size_t>(std::lround(target)), 1, aService.size());
   }
-  return shares;
+  return targets;
 }
 
-/// Where versions differ, the models that are least behind were at home there
-/// under the holder before. Then a model's homes are spread over the zones,
-/// so that a cut leaves it some.
+/// Prefers upstreams with the smallest version gap: under the previous holder
+/// they were replicas of the model. Then spreads the replicas of a model over
+/// the zones, so that the loss of a zone leaves some.
 ///
-/// Only the count of homes of a zone changes while homes are added, so that the
-/// candidates of each zone are put into order once.
+/// While replicas are added, only the number of replicas per zone changes, so
+/// the candidates of each zone are sorted once.
 void
-WeightPlan::AddHomes(const std::string& aModel,
-                     std::size_t aCount,
-                     std::size_t aMost,
-                     const Places& aService)
+WeightPlan::AddReplicas(const std::string& aModel,
+                        std::size_t aCount,
+                        std::size_t aMaxPerUpstream,
+                        const ServiceUpstreams& aService)
 {
-  /// More homes than others, versions behind, homes, place in the service.
+  /// Whether it has the maximum number of models, versions behind, number of
+  /// models, index in the service.
   using Candidate = std::tuple<bool, std::uint64_t, std::size_t, std::size_t>;
   struct Zone
   {
-    std::size_t homes_ = 0;
-    /// The best one last.
+    std::size_t replicas_ = 0;
+    /// Best candidate last.
     std::vector<Candidate> candidates_;
   };
   std::map<ZoneId, Zone> zones;
-  looks_ += aService.size();
+  examined_ += aService.size();
   for (std::size_t i = 0; i < aService.size(); ++i) {
-    const Place& place = aService[i];
-    Zone& zone = zones[place.upstream_->zone_];
-    if (place.home_->contains(aModel)) {
-      ++zone.homes_;
+    const ServiceUpstream& entry = aService[i];
+    Zone& zone = zones[entry.upstream_->zone_];
+    if (entry.models_->contains(aModel)) {
+      ++zone.replicas_;
     } else {
-      zone.candidates_.emplace_back(place.home_->size() >= aMost,
-                                    Gap(*place.upstream_, aModel),
-                                    place.home_->size(),
+      zone.candidates_.emplace_back(entry.models_->size() >= aMaxPerUpstream,
+                                    VersionsBehind(*entry.upstream_, aModel),
+                                    entry.models_->size(),
                                     i);
     }
   }
@@ -221,11 +226,11 @@
       zone.candidates_.begin(), zone.candidates_.end(), std::greater<>());
   }
   const auto rank = [](const Zone& aZone) {
-    const auto& [over, gap, homes, index] = aZone.candidates_.back();
-    return std::tuple(over, gap, homes, aZone.homes_, index);
+    const auto& [over, gap, replicas, index] = aZone.candidates_.back();
+    return std::tuple(over, gap, replicas, aZone.replicas_, index);
   };
   for (std::size_t i = 0; i < aCount; ++i) {
-    looks_ += zones.size();
+    examined_ += zones.size();
     Zone* best = nullptr;
     for (auto& [id, zone] : zones) {
       if (!zone.candidates_.empty() &&
@@ -233,97 +238,103 @@
         best = &zone;
       }
     }
-    aService[std::get<3>(best->candidates_.back())].home_->insert(aModel);
+    aService[std::get<3>(best->candidates_.back())].models_->insert(aModel);
     best->candidates_.pop_back();
-    ++best->homes_;
+    ++best->replicas_;
   }
 }
 
-/// The models that are furthest behind go: they are served elsewhere already.
+/// Removes the models that are furthest behind, because other upstreams serve
+/// them already.
 void
-WeightPlan::Relieve(std::size_t aMost, const Places& aService)
+WeightPlan::TrimReplicas(std::size_t aMaxPerUpstream,
+                         const ServiceUpstreams& aService)
 {
-  for (const Place& place : aService) {
-    std::set<std::string>& home = *place.home_;
-    while (home.size() > aMost) {
-      home.erase(std::max_element(
-        home.begin(),
-        home.end(),
+  for (const ServiceUpstream& entry : aService) {
+    std::set<std::string>& assigned = *entry.models_;
+    while (assigned.size() > aMaxPerUpstream) {
+      assigned.erase(std::max_element(
+        assigned.begin(),
+        assigned.end(),
         [&](const std::string& aLeft, const std::string& aRight) {
-          return Gap(*place.upstream_, aLeft) < Gap(*place.upstream_, aRight);
+          return VersionsBehind(*entry.upstream_, aLeft) <
+                 VersionsBehind(*entry.upstream_, aRight);
         }));
     }
   }
 }
 
 void
-WeightPlan::RemoveHomes(const std::string& aModel,
-                        std::size_t aCount,
-                        const Places& aService)
+WeightPlan::RemoveReplicas(const std::string& aModel,
+                           std::size_t aCount,
+                           const ServiceUpstreams& aService)
 {
-  /// Too old to serve a step, models at home there.
+  /// Whether too old to serve a step, number of models.
   using Rank = std::pair<bool, std::size_t>;
-  std::vector<std::pair<Rank, std::set<std::string>*>> homes;
-  looks_ += aService.size();
-  for (const Place& place : aService) {
-    if (place.home_->contains(aModel)) {
-      const bool old = Gap(*place.upstream_, aModel) >= kMostBehind;
-      homes.emplace_back(Rank{ old, place.home_->size() }, place.home_);
+  std::vector<std::pair<Rank, std::set<std::string>*>> replicas;
+  examined_ += aService.size();
+  for (const ServiceUpstream& entry : aService) {
+    if (entry.models_->contains(aModel)) {
+      const bool old = VersionsBehind(*entry.upstream_, aModel) >= kUnusableGap;
+      replicas.emplace_back(Rank{ old, entry.models_->size() }, entry.models_);
     }
   }
-  std::stable_sort(
-    homes.begin(), homes.end(), [](const auto& aLeft, const auto& aRight) {
-      return aLeft.first > aRight.first;
-    });
+  std::stable_sort(replicas.begin(),
+                   replicas.end(),
+                   [](const auto& aLeft, const auto& aRight) {
+                     return aLeft.first > aRight.first;
+                   });
   for (std::size_t i = 0; i < aCount; ++i) {
-    homes[i].second->erase(aModel);
+    replicas[i].second->erase(aModel);
   }
 }
 
 void
-WeightPlan::AssignHomes(const Places& aService)
+WeightPlan::AssignReplicas(const ServiceUpstreams& aService)
 {
-  const std::vector<std::string> models = ModelsOf(aService);
+  const std::vector<std::string> models = ModelNames(aService);
   if (models.empty()) {
     return;
   }
-  const std::map<std::string, std::size_t> shares = ShareOut(aService, models);
-  const std::map<std::string, std::size_t> before = CountHomes(aService);
-  std::size_t homes = 0;
-  for (const auto& [model, share] : shares) {
+  const std::map<std::string, std::size_t> targets =
+    TargetReplicas(aService, models);
+  const std::map<std::string, std::size_t> before = CountReplicas(aService);
+  std::size_t replicas = 0;
+  for (const auto& [model, target] : targets) {
     const std::size_t count = CountOf(before, model);
-    if (count > share) {
-      RemoveHomes(model, count - share, aService);
+    if (count > target) {
+      RemoveReplicas(model, count - target, aService);
     }
-    homes += share;
+    replicas += target;
   }
-  const std::size_t most = (homes + aService.size() - 1) / aService.size();
-  Relieve(most, aService);
-  const std::map<std::string, std::size_t> left = CountHomes(aService);
-  for (const auto& [model, share] : shares) {
-    const std::size_t count = CountOf(left, model);
-    if (count < share) {
-      AddHomes(model, share - count, most, aService);
+  const std::size_t maxPerUpstream =
+    (replicas + aService.size() - 1) / aService.size();
+  TrimReplicas(maxPerUpstream, aService);
+  const std::map<std::string, std::size_t> after = CountReplicas(aService);
+  for (const auto& [model, target] : targets) {
+    const std::size_t count = CountOf(after, model);
+    if (count < target) {
+      AddReplicas(model, target - count, maxPerUpstream, aService);
     }
   }
 }
 
 void
-WeightPlan::PlanService(const Places& aService,
+WeightPlan::PlanService(const ServiceUpstreams& aService,
                         std::vector<PlannedLoad>& aLoads)
 {
-  AssignHomes(aService);
-  const std::map<std::string, std::size_t> homes = CountHomes(aService);
+  AssignReplicas(aService);
+  const std::map<std::string, std::size_t> replicas = CountReplicas(aService);
   std::uint32_t busy = 0;
   std::map<std::string, std::uint32_t> busyOfModel;
   std::map<std::string, double> newest;
   std::vector<std::tuple<std::uint64_t, const PlanUpstream*, std::string>>
     wanted;
-  for (const Place& place : aService) {
-    const PlanUpstream& upstream = *place.upstream_;
+  for (const ServiceUpstream& entry : aService) {
+    const PlanUpstream& upstream = *entry.upstream_;
     busy += upstream.busy_ ? 1 : 0;
-    for (const std::string& model : *place.home_) {
-      const std::uint64_t gap = Gap(upstream, model);
+    for (const std::string& model : *entry.models_) {
+      const std::uint64_t gap = VersionsBehind(upstream, model);
       newest[model] += upstream.busy_ || gap == 0 ? 1 : 0;
       if (upstream.busy_) {
         ++busyOfModel[model];
@@ -336,33 +347,34 @@
     wanted.begin(), wanted.end(), [](const auto& aLeft, const auto& aRight) {
       const auto rank = [](const auto& aWanted) {
         const std::uint64_t gap = std::get<0>(aWanted);
-        return std::tuple(gap < kMostBehind,
+        return std::tuple(gap < kUnusableGap,
                           std::get<1>(aWanted)->longRuns_,
                           std::numeric_limits<std::uint64_t>::max() - gap);
       };
       return rank(aLeft) < rank(aRight);
     });
-  const std::uint32_t atOnce = AtOnce(aService.size());
+  const std::uint32_t maxLoads = ConcurrentLoads(aService.size());
   std::set<UpstreamId> chosen;
   for (const auto& [gap, upstream, model] : wanted) {
-    if (busy >= atOnce) {
+    if (busy >= maxLoads) {
       break;
     }
-    // The larger half of a model's upstreams goes on serving.
-    const std::size_t home = CountOf(homes, model);
-    const std::size_t most = std::max<std::size_t>(1, home / 2);
+    // At least half of a model's replicas keep serving, unless there is only
+    // one.
+    const std::size_t count = CountOf(replicas, model);
+    const std::size_t maxBusy = std::max<std::size_t>(1, count / 2);
     const bool enough =
-      newest[model] >= policy_.newestShare_ * static_cast<double>(home);
-    if (gap < kMostBehind && enough) {
+      newest[model] >= policy_.newestShare_ * static_cast<double>(count);
+    if (gap < kUnusableGap && enough) {
       continue;
     }
-    if (busyOfModel[model] >= most || !chosen.insert(upstream->id_).second) {
+    if (busyOfModel[model] >= maxBusy || !chosen.insert(upstream->id_).second) {
       continue;
     }
     ++busy;
     ++busyOfModel[model];
     newest[model] += 1;
-    aLoads.push_back({ upstream->id_, model, named_[model].version_ });
+    aLoads.push_back({ upstream->id_, model, latest_[model].version_ });
   }
   busy_ = busy;
 }
@@ -370,18 +382,20 @@
 std::vector<PlannedLoad>
 WeightPlan::Next(const std::vector<PlanUpstream>& aUpstreams)
 {
-  looks_ = 0;
-  std::map<ServiceId, Places> services;
+  examined_ = 0;
+  std::map<ServiceId, ServiceUpstreams> services;
   std::set<UpstreamId> present;
   for (const PlanUpstream& upstream : aUpstreams) {
-    services[upstream.service_].push_back({ &upstream, &homes_[upstream.id_] });
+    services[upstream.service_].push_back(
+      { &upstream, &replicas_[upstream.id_] });
     present.insert(upstream.id_);
   }
-  std::erase_if(
-    homes_, [&](const auto& aHome) { return !present.contains(aHome.first); });
+  std::erase_if(replicas_, [&](const auto& aEntry) {
+    return !present.contains(aEntry.first);
+  });
   std::vector<PlannedLoad> loads;
-  for (const auto& [service, places] : services) {
-    PlanService(places, loads);
+  for (const auto& [service, upstreams] : services) {
+    PlanService(upstreams, loads);
   }
   return loads;
 }
--- a/tests/test_weight_demand.cpp
+++ b/tests/test_weight_demand.cpp
@@ -1,4 +1,4 @@
-/// Homes and loads of models against what their items want.
+/// Replicas and loads of models compared with the demand of their items.
 
 #include "plan_fleet.hpp"
 
@@ -11,29 +11,30 @@
 
 constexpr TimePoint kStart{ std::chrono::seconds(100) };
 
-/// Trainers that name a version each 4 s, in turn, before a fleet.
-struct DemandPlay
+/// Trainers that announce a version every 4 s, in turn, and a fleet that loads
+/// them.
+struct DemandSimulation
 {
   static constexpr int kModels = 4;
   static constexpr std::uint64_t kBurst = 240;
   static constexpr std::uint32_t kSlots = 6;
-  /// Of 100 ms.
+  /// Ticks of 100 ms.
   static constexpr int kLoadTicks = 11;
   static constexpr int kVersionTicks = 40;
 
   WeightPlan plan_;
   std::vector<PlanUpstream> fleet_;
-  std::map<UpstreamId, std::size_t> places_;
+  std::map<UpstreamId, std::size_t> indexes_;
   std::map<std::size_t, std::pair<PlannedLoad, int>> loading_;
   std::size_t loads_ = 0;
 
-  explicit DemandPlay(int aUpstreams)
+  explicit DemandSimulation(int aUpstreams)
     : fleet_(MakeFleet(aUpstreams, kModels))
   {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
       fleet_[i].slots_ = kSlots;
       fleet_[i].zone_ = ZoneId{ "z" + std::to_string(i % 3) };
-      places_[fleet_[i].id_] = i;
+      indexes_[fleet_[i].id_] = i;
     }
   }
 
@@ -46,7 +47,7 @@
         plan_.OnDemand(name, kBurst, now);
       }
       if (aTick % kVersionTicks == 10 * model) {
-        plan_.OnNamed(name, NewestAt(aTick, model), now);
+        plan_.OnVersionAnnounced(name, NewestAt(aTick, model), now);
       }
     }
     for (auto it = loading_.begin(); it != loading_.end();) {
@@ -64,9 +65,9 @@
     const std::vector<PlannedLoad> loads = plan_.Next(fleet_);
     plan_.OnOrdered(now);
     for (const PlannedLoad& load : loads) {
-      const std::size_t place = places_.at(load.upstream_);
-      fleet_[place].busy_ = true;
-      loading_[place] = { load, aTick + kLoadTicks };
+      const std::size_t index = indexes_.at(load.upstream_);
+      fleet_[index].busy_ = true;
+      loading_[index] = { load, aTick + kLoadTicks };
       ++loads_;
     }
   }
@@ -77,36 +78,38 @@
     return WeightVersion{ 2 + static_cast<std::uint64_t>(named) };
   }
 
-  /// @returns places that may serve the newest step of a model
-  [[nodiscard]] std::uint64_t Places(int aTick,
-                                     int aModel,
-                                     const ZoneId& aLost) const
+  /// @returns the slots of upstreams outside zone `aLost` that can serve the
+  /// newest step of a model
+  [[nodiscard]] std::uint64_t UsableSlots(int aTick,
+                                          int aModel,
+                                          const ZoneId& aLost) const
   {
-    std::uint64_t places = 0;
+    std::uint64_t slots = 0;
     for (const PlanUpstream& upstream : fleet_) {
       const WeightVersion held =
         upstream.versions_.at("m" + std::to_string(aModel));
       const bool fits = held.Get() + 1 >= NewestAt(aTick, aModel).Get();
-      places += fits && upstream.zone_ != aLost ? kSlots : 0;
+      slots += fits && upstream.zone_ != aLost ? kSlots : 0;
     }
-    return places;
+    return slots;
   }
 };
 
 } // namespace
 
-// With 3,000 upstreams a version was ordered to some hundred, for bursts that
-// have use for forty: the holder of the duty sent two hundred orders a second,
-// and the store of weights was busy with loads for nobody.
-TEST_CASE("loads follow what items have use for, however large the fleet is")
+// The number of replicas grew with the fleet: with 3,000 upstreams a version
+// was ordered for some hundred of them, for bursts that need forty. The holder
+// of the duty sent two hundred orders per second, and the weight store served
+// loads that no item needed.
+TEST_CASE("the number of loads follows demand, not the size of the fleet")
 {
   constexpr int kTicks = 400;
   const auto loadsOf = [](int aUpstreams) {
-    DemandPlay play(aUpstreams);
+    DemandSimulation simulation(aUpstreams);
     for (int tick = 0; tick < kTicks; ++tick) {
-      play.Tick(tick);
+      simulation.Tick(tick);
     }
-    return play.loads_;
+    return simulation.loads_;
   };
   const std::size_t few = loadsOf(600);
   const std::size_t many = loadsOf(3000);
@@ -114,22 +117,22 @@
   REQUIRE(many <= few + few / 5);
 }
 
-TEST_CASE("a burst finds its places whichever zone is lost")
+TEST_CASE("a burst finds its slots whichever zone is lost")
 {
   const int upstreams = GENERATE(600, 3000);
   const int lost = GENERATE(0, 1, 2);
-  DemandPlay play(upstreams);
-  // Ten versions, the first of which every upstream can serve.
-  for (int tick = 0; tick < 10 * DemandPlay::kVersionTicks; ++tick) {
-    play.Tick(tick);
-    for (int model = 0; model < DemandPlay::kModels; ++model) {
-      // Steps are asked a while after their version was named.
-      const int since = (tick - 10 * model) % DemandPlay::kVersionTicks;
-      if (tick >= 10 * model && since > 2 * DemandPlay::kLoadTicks) {
+  DemandSimulation simulation(upstreams);
+  // Ten versions; every upstream can serve the first one.
+  for (int tick = 0; tick < 10 * DemandSimulation::kVersionTicks; ++tick) {
+    simulation.Tick(tick);
+    for (int model = 0; model < DemandSimulation::kModels; ++model) {
+      // Steps begin a while after their version was announced.
+      const int since = (tick - 10 * model) % DemandSimulation::kVersionTicks;
+      if (tick >= 10 * model && since > 2 * DemandSimulation::kLoadTicks) {
         CAPTURE(tick, model);
-        REQUIRE(
-          play.Places(tick, model, ZoneId{ "z" + std::to_string(lost) }) >=
-          DemandPlay::kBurst);
+        REQUIRE(simulation.UsableSlots(
+                  tick, model, ZoneId{ "z" + std::to_string(lost) }) >=
+                DemandSimulation::kBurst);
       }
     }
   }
