--- a/include/marjoramtally/process/admission.hpp
+++ b/include/marjoramtally/process/admission.hpp
@@ -116,9 +116,9 @@
     EarlyRefusal refusal_;
     std::array<double, kRequestClasses> queuedCost_{};
     std::uint64_t slots_ = 0;
-    std::uint64_t othersInFlight_ = 0;
+    std::uint64_t nonLiveInFlight_ = 0;
     /// Dispatches since the last one of background callers.
-    std::uint64_t sinceBackground_ = 0;
+    std::uint64_t dispatchesSinceBackground_ = 0;
   };
   struct Entry
   {
@@ -142,9 +142,9 @@
               bool aFront,
               TimePoint aNow);
   /// Takes an entry out of its class's queue.
-  void Withdraw(const Entry& aEntry);
-  [[nodiscard]] std::optional<TicketId> NextOfOthers(ServiceQueue& aQueue,
-                                                     TimePoint aNow);
+  void RemoveFromQueue(const Entry& aEntry);
+  [[nodiscard]] std::optional<TicketId> NextNonLive(ServiceQueue& aQueue,
+                                                    TimePoint aNow);
   [[nodiscard]] bool BackgroundIsDue(const ServiceQueue& aQueue) const noexcept;
 
   AdmissionSettings settings_;
--- a/include/marjoramtally/process/allocation.hpp
+++ b/include/marjoramtally/process/allocation.hpp
@@ -89,7 +89,7 @@
   using Targets = std::map<EngineUserId, std::uint64_t>;
 
   [[nodiscard]] std::uint64_t Wanted(const User& aUser) const noexcept;
-  [[nodiscard]] Targets Share() const;
+  [[nodiscard]] Targets ComputeTargets() const;
   void Grant(Targets& aTargets,
              std::uint64_t& aLeft,
              const EngineUserId& aUser,
@@ -97,20 +97,20 @@
   void ShareByWeight(Targets& aTargets,
                      std::uint64_t& aLeft,
                      bool aBeyondDemand) const;
-  void GiveFree(const Targets& aTargets,
-                TimePoint aNow,
-                std::vector<EngineMove>& aOut);
-  void TakeBack(const Targets& aTargets,
-                TimePoint aNow,
-                std::vector<EngineMove>& aOut);
-  void MoveSlowly(const Targets& aTargets,
+  void AssignFree(const Targets& aTargets,
                   TimePoint aNow,
                   std::vector<EngineMove>& aOut);
+  void ReclaimForLive(const Targets& aTargets,
+                      TimePoint aNow,
+                      std::vector<EngineMove>& aOut);
+  void Rebalance(const Targets& aTargets,
+                 TimePoint aNow,
+                 std::vector<EngineMove>& aOut);
   /// @returns the user that holds most over its target, none if nobody does
-  [[nodiscard]] const User* MostOver(const Targets& aTargets) const;
-  [[nodiscard]] User* MostUnder(const Targets& aTargets);
+  [[nodiscard]] const User* LargestSurplus(const Targets& aTargets) const;
+  [[nodiscard]] User* LargestDeficit(const Targets& aTargets);
   /// @returns the engine of a user that has stayed longest
-  [[nodiscard]] std::pair<const UpstreamId, Engine>* Oldest(
+  [[nodiscard]] std::pair<const UpstreamId, Engine>* LongestHeld(
     const EngineUserId& aUser);
   void Move(std::pair<const UpstreamId, Engine>& aEngine,
             User& aTo,
@@ -122,7 +122,7 @@
   std::map<EngineUserId, User> users_;
   std::map<UpstreamId, Engine> engines_;
   /// Since when the targets have differed from what is held.
-  TimePoint differsSince_ = kNever;
+  TimePoint imbalancedSince_ = kNever;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/claims.hpp
+++ b/include/marjoramtally/process/claims.hpp
@@ -22,7 +22,7 @@
 using ClaimBatchId = Strong<std::uint64_t, struct ClaimBatchTag>;
 
 /// A request that wants to run.
-struct ClaimAsk
+struct ClaimRequest
 {
   ClaimTicket ticket_;
   /// The record's name, by `ClaimName`.
@@ -76,7 +76,7 @@
 };
 
 /// How a transaction ended.
-enum class CommitEnd : std::uint8_t
+enum class CommitResult : std::uint8_t
 {
   Applied,
   /// A record's revision was not as expected; nothing took effect.
@@ -88,7 +88,7 @@
 };
 
 /// What a read-back found.
-struct ClaimReading
+struct ClaimReadResult
 {
   bool failed_ = false;
   std::optional<ClaimRecord> record_;
@@ -110,19 +110,19 @@
 struct ClaimOptions
 {
   /// Most writes in a transaction (the store allows 128 operations).
-  std::size_t batch_ = 100;
+  std::size_t maxBatch_ = 100;
   /// Least time between transactions.
-  Duration gap_{ 0 };
+  Duration minCommitInterval_{ 0 };
   /// A transaction without answer for so long makes others be refused.
-  Duration slow_ = std::chrono::milliseconds(500);
+  Duration slowCommit_ = std::chrono::milliseconds(500);
   /// After a failure, time in which claims are refused at once.
-  Duration pause_ = std::chrono::milliseconds(500);
+  Duration failurePause_ = std::chrono::milliseconds(500);
   /// How often, and how long, an abandoned claim is looked for.
-  Duration orphanRead_ = std::chrono::seconds(5);
-  Duration orphanLife_ = std::chrono::minutes(2);
+  Duration orphanReadInterval_ = std::chrono::seconds(5);
+  Duration orphanLifetime_ = std::chrono::minutes(2);
   /// Ended requests whose answer is kept here, the newest.
-  std::size_t remembered_ = 10'000;
-  std::size_t mostWaiting_ = 10'000;
+  std::size_t maxEnded_ = 10'000;
+  std::size_t maxWaiting_ = 10'000;
 };
 
 /// Claims of one instance. Not thread-safe.
@@ -137,16 +137,16 @@
   }
 
   /// A request wants to run.
-  [[nodiscard]] ClaimActions Ask(ClaimAsk aAsk, TimePoint aNow);
+  [[nodiscard]] ClaimActions Claim(ClaimRequest aRequest, TimePoint aNow);
   /// A transaction ended.
   /// @param aRevision the store's revision if it was applied
   [[nodiscard]] ClaimActions OnCommit(ClaimBatchId aId,
-                                      CommitEnd aEnd,
+                                      CommitResult aEnd,
                                       std::uint64_t aRevision,
                                       TimePoint aNow);
   /// A read-back ended.
   [[nodiscard]] ClaimActions OnRead(const std::string& aName,
-                                    const ClaimReading& aReading,
+                                    const ClaimReadResult& aReading,
                                     TimePoint aNow);
   /// A request that was told to run ended. Its `closed_` action follows.
   [[nodiscard]] ClaimActions OnRunEnd(const std::string& aName,
@@ -155,7 +155,10 @@
                                       TimePoint aNow);
   /// Time passed.
   [[nodiscard]] ClaimActions Tick(TimePoint aNow);
-  void SetGap(Duration aGap) noexcept { options_.gap_ = aGap; }
+  void SetMinCommitInterval(Duration aGap) noexcept
+  {
+    options_.minCommitInterval_ = aGap;
+  }
   /// @returns requests asked and not yet closed or answered
   [[nodiscard]] std::size_t Open() const noexcept;
 
@@ -177,7 +180,7 @@
   struct Entry
   {
     Phase phase_ = Phase::Queued;
-    ClaimAsk ask_;
+    ClaimRequest request_;
     ClaimRecord record_;
     std::uint64_t revision_ = 0;
     std::uint32_t tries_ = 0;
@@ -193,9 +196,10 @@
               ClaimAnswer aAnswer,
               std::string aReason,
               ClaimActions& aOut) const;
-  [[nodiscard]] static ClaimVerdict AnswerFrom(const ClaimAsk& aAsk,
-                                               const ClaimRecord& aRecord);
-  [[nodiscard]] ClaimVerdict AnswerResend(const ClaimAsk& aAsk,
+  [[nodiscard]] static ClaimVerdict AnswerFromRecord(
+    const ClaimRequest& aRequest,
+    const ClaimRecord& aRecord);
+  [[nodiscard]] ClaimVerdict AnswerResend(const ClaimRequest& aRequest,
                                           const Entry& aEntry) const;
   void Flush(TimePoint aNow, ClaimActions& aOut);
   /// Names queued twice, or settled since, need no write.
@@ -204,38 +208,36 @@
              TimePoint aNow,
              ClaimActions& aOut);
   [[nodiscard]] ClaimWrite WriteOf(const Entry& aEntry) const;
-  void Won(Entry& aEntry,
-           std::uint64_t aRevision,
-           TimePoint aNow,
-           ClaimActions& aOut);
-  void Lost(const std::string& aName,
-            const ClaimReading& aReading,
-            TimePoint aNow,
-            ClaimActions& aOut);
-  void Closed(const std::string& aName, Entry& aEntry, ClaimActions& aOut);
-  void Abandon(Entry& aEntry, const char* aReason, ClaimActions& aOut) const;
-  void AfterApplied(const std::string& aName,
-                    std::uint64_t aRevision,
-                    TimePoint aNow,
-                    ClaimActions& aOut);
-  void AfterFailed(const std::string& aName,
-                   bool aNoEffect,
-                   ClaimActions& aOut);
-  void AfterConflict(std::vector<std::string> aNames,
+  void OnClaimWon(Entry& aEntry,
+                  std::uint64_t aRevision,
+                  TimePoint aNow,
+                  ClaimActions& aOut);
+  void OnClaimNotWon(const std::string& aName,
+                     const ClaimReadResult& aReading,
                      TimePoint aNow,
                      ClaimActions& aOut);
+  void OnClosed(const std::string& aName, Entry& aEntry, ClaimActions& aOut);
+  void Abandon(Entry& aEntry, const char* aReason, ClaimActions& aOut) const;
+  void OnApplied(const std::string& aName,
+                 std::uint64_t aRevision,
+                 TimePoint aNow,
+                 ClaimActions& aOut);
+  void OnFailed(const std::string& aName, bool aNoEffect, ClaimActions& aOut);
+  void OnConflict(std::vector<std::string> aNames,
+                  TimePoint aNow,
+                  ClaimActions& aOut);
   void ExpireEntry(const std::string& aName,
                    Entry& aEntry,
                    TimePoint aNow,
                    ClaimActions& aOut);
-  void Remember(const std::string& aName);
+  void RememberEnded(const std::string& aName);
 
   std::string owner_;
   ClaimOptions options_;
   Entries entries_;
   std::deque<std::string> queue_;
   /// Parts of a transaction that met a conflict, to be tried on their own.
-  std::deque<std::vector<std::string>> parts_;
+  std::deque<std::vector<std::string>> splitBatches_;
   std::deque<std::string> ended_;
   std::vector<std::string> writing_;
   ClaimBatchId current_;
--- a/include/marjoramtally/process/crash_watch.hpp
+++ b/include/marjoramtally/process/crash_watch.hpp
@@ -19,25 +19,26 @@
 {
   /// A request that crashes its upstream does so as it begins; one that had
   /// been sent longer ago than this did not do it.
-  Duration begun_ = std::chrono::seconds(5);
+  Duration maxRunBeforeCrash_ = std::chrono::seconds(5);
   /// A registration ends this long after its upstream at the latest: three
   /// heartbeats of 1.2 s, and up to 1.7 s on the way through a relay.
-  Duration window_ = std::chrono::seconds(6);
+  Duration maxRegistrationLag_ = std::chrono::seconds(6);
   /// Connections that a crash breaks are seen to break within this time.
-  Duration together_ = std::chrono::seconds(1);
+  Duration breakSpread_ = std::chrono::seconds(1);
   /// A registration that is renewed so long after a break was renewed by a
   /// living upstream: the way through a relay takes 1.7 s at most.
-  Duration renewed_ = std::chrono::seconds(2);
+  Duration minRenewalLag_ = std::chrono::seconds(2);
   /// Registrations that lapsed with the store come back within two seconds of
   /// the store's return; ends of registrations are remembered for this long.
-  Duration returns_ = std::chrono::seconds(60);
+  Duration endedRetention_ = std::chrono::seconds(60);
   /// Most breaks remembered; the oldest go first.
-  std::size_t most_ = 512;
+  std::size_t maxBreaks_ = 512;
   /// Innocents that were twice with the culprit are not refused with it; a
   /// third crash decides. Reports of one crash by all instances come within
   /// the settling time, a call between zones taking some tens of ms.
-  QuarantineOptions quarantine_{ .crashesInCompany_ = 3,
-                                 .settle_ = std::chrono::milliseconds(300) };
+  QuarantineOptions quarantine_{ .crashesInCommon_ = 3,
+                                 .settlingTime_ =
+                                   std::chrono::milliseconds(300) };
 };
 
 /// Crashes as one instance sees them. Not thread-safe.
@@ -61,14 +62,15 @@
   }
   /// @returns upstreams where another request that may be a culprit is in
   /// progress, if this one may be a culprit
-  [[nodiscard]] std::vector<UpstreamId> Avoid(Fingerprint aFingerprint) const;
+  [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
+    Fingerprint aFingerprint) const;
   void OnSent(const UpstreamId& aUpstream,
               Fingerprint aFingerprint,
               TimePoint aNow);
   /// A whole answer came: the request is cleared.
   /// @returns what to tell other instances
-  [[nodiscard]] Updates OnWhole(const UpstreamId& aUpstream,
-                                Fingerprint aFingerprint);
+  [[nodiscard]] Updates OnCompleted(const UpstreamId& aUpstream,
+                                    Fingerprint aFingerprint);
   /// The connection broke after bytes were sent.
   void OnBroken(const UpstreamId& aUpstream,
                 Fingerprint aFingerprint,
@@ -91,9 +93,10 @@
   /// @returns what is known here of the request of the update
   [[nodiscard]] Updates OnUpdate(const SuspicionUpdate& aUpdate,
                                  TimePoint aNow);
-  [[nodiscard]] Updates Known(Fingerprint aFingerprint, TimePoint aNow) const
+  [[nodiscard]] Updates KnownSuspicion(Fingerprint aFingerprint,
+                                       TimePoint aNow) const
   {
-    return quarantine_.Known(aFingerprint, aNow);
+    return quarantine_.KnownSuspicion(aFingerprint, aNow);
   }
   [[nodiscard]] std::size_t Refused(TimePoint aNow) const
   {
@@ -111,26 +114,27 @@
   struct Ended
   {
     UpstreamStart start_;
-    TimePoint at_;
+    TimePoint endedAt_;
   };
   struct Break
   {
     UpstreamId upstream_;
     Fingerprint fingerprint_;
     /// When the call was sent.
-    TimePoint from_;
-    TimePoint at_;
+    TimePoint sentAt_;
+    TimePoint brokenAt_;
   };
   using Running = std::multimap<Fingerprint, TimePoint>;
 
-  [[nodiscard]] bool MayBeCulprit(Fingerprint aFingerprint) const;
+  [[nodiscard]] bool IsSuspect(Fingerprint aFingerprint) const;
   /// Ends the oldest call.
   /// @returns when it was sent
-  std::optional<TimePoint> Stop(const UpstreamId& aUpstream,
-                                Fingerprint aFingerprint);
+  std::optional<TimePoint> EndCall(const UpstreamId& aUpstream,
+                                   Fingerprint aFingerprint);
   [[nodiscard]] Updates Register(const UpstreamEntry& aEntry, TimePoint aNow);
   /// The upstream's incarnation has crashed.
-  [[nodiscard]] Updates Blame(const UpstreamId& aUpstream, TimePoint aNow);
+  [[nodiscard]] Updates AttributeCrash(const UpstreamId& aUpstream,
+                                       TimePoint aNow);
   void DropOldBreaks(TimePoint aNow);
   void ForgetBreaks(const UpstreamId& aUpstream, TimePoint aBefore);
 
--- a/include/marjoramtally/process/customer_table.hpp
+++ b/include/marjoramtally/process/customer_table.hpp
@@ -63,7 +63,7 @@
 };
 
 /// A judgement on a request's key.
-struct KeyJudgement
+struct KeyCheck
 {
   KeyVerdict verdict_ = KeyVerdict::Refused;
   /// Of a granted request; empty: no key was needed and none is known.
@@ -86,8 +86,8 @@
 
 /// @param aPublic the request needs no key
 /// @param aAge how old the knowledge of the customers is
-[[nodiscard]] KeyJudgement
-JudgeKey(const CustomerTable& aCustomers,
+[[nodiscard]] KeyCheck
+CheckKey(const CustomerTable& aCustomers,
          std::string_view aAuthorization,
          bool aPublic,
          Duration aAge,
--- a/include/marjoramtally/process/early_refusal.hpp
+++ b/include/marjoramtally/process/early_refusal.hpp
@@ -55,9 +55,9 @@
                    TimePoint aNow) noexcept;
   /// Records that a request's deadline passed at an upstream after a time
   /// there.
-  void OnLate(RequestClass aClass,
-              double aExpectedCost,
-              Duration aTook) noexcept;
+  void OnDeadlinePassed(RequestClass aClass,
+                        double aExpectedCost,
+                        Duration aTook) noexcept;
   /// @param aCostAhead expected cost that goes before the request, divided
   /// by the part of the drain rate that serves its queue
   [[nodiscard]] RefusalVerdict Judge(const RequestSpec& aRequest,
@@ -91,9 +91,9 @@
     double deviation_ = 0;
   };
 
-  void LearnTime(RequestClass aClass,
-                 double aExpectedCost,
-                 Duration aTook) noexcept;
+  void LearnServiceTime(RequestClass aClass,
+                        double aExpectedCost,
+                        Duration aTook) noexcept;
   [[nodiscard]] double WaitCorrection(RequestClass aClass) const noexcept;
 
   /// Cost completed in the present window.
@@ -107,7 +107,7 @@
     QuantileTracker(kWaitQuantile),
     QuantileTracker(kWaitQuantile)
   };
-  std::array<ServiceTimes, kRequestClasses> services_{};
+  std::array<ServiceTimes, kRequestClasses> serviceTimes_{};
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/fair_queue.hpp
+++ b/include/marjoramtally/process/fair_queue.hpp
@@ -127,7 +127,7 @@
   void Attach(std::uint32_t aIndex);
   /// Brings a flow that had nothing outstanding up to virtual time.
   void Activate(std::uint32_t aIndex);
-  void EndAnticipation(TimePoint aNow);
+  void ExpireAnticipation(TimePoint aNow);
   void AdvanceVirtualTime();
   [[nodiscard]] bool Throttled(const FlowKey& aCandidate) const;
 
--- a/include/marjoramtally/process/quarantine.hpp
+++ b/include/marjoramtally/process/quarantine.hpp
@@ -23,20 +23,20 @@
   /// The same where another request was at each of these crashes as well. If
   /// it is more than `crashes_`, a request is not refused while another one was
   /// at all of its crashes and at further ones: that one explains them.
-  std::size_t crashesInCompany_ = 2;
+  std::size_t crashesInCommon_ = 2;
   /// A crash counts from this time after its report on, so that the reports
   /// against others that were there have come.
-  Duration settle_{ 0 };
+  Duration settlingTime_{ 0 };
   /// For so long after a crash a suspect runs only at upstreams that are
   /// this instance's for suspects.
-  Duration patience_ = std::chrono::seconds(1);
+  Duration ownUpstreamsOnly_ = std::chrono::seconds(1);
   /// How long a crash is held against a request.
-  Duration memory_ = std::chrono::minutes(10);
+  Duration crashRetention_ = std::chrono::minutes(10);
   /// Length of a first quarantine; each further one doubles.
-  Duration first_ = std::chrono::minutes(10);
-  Duration longest_ = std::chrono::hours(4);
+  Duration firstQuarantine_ = std::chrono::minutes(10);
+  Duration maxQuarantine_ = std::chrono::hours(4);
   /// Most fingerprints remembered; the oldest go first.
-  std::size_t most_ = 4096;
+  std::size_t maxSuspicions_ = 4096;
 };
 
 /// Whether and how a request may run.
@@ -44,7 +44,7 @@
 {
   bool refused_ = false;
   /// Runs on an upstream where no other suspect is in progress.
-  bool apart_ = false;
+  bool isolated_ = false;
   /// Set if refused.
   Duration retryAfter_{ 0 };
   /// For people; set if refused.
@@ -64,9 +64,9 @@
   [[nodiscard]] QuarantineVerdict Judge(Fingerprint aFingerprint,
                                         TimePoint aNow);
   /// Sets the upstreams where other instances run their suspects first.
-  void SetOthers(std::set<UpstreamId> aUpstreams)
+  void SetOthersUpstreams(std::set<UpstreamId> aUpstreams)
   {
-    others_ = std::move(aUpstreams);
+    othersUpstreams_ = std::move(aUpstreams);
   }
   /// @returns whether a request may start at an upstream; a suspect may if
   /// no other suspect is in progress there, and it is itself nowhere
@@ -74,7 +74,8 @@
                               const UpstreamId& aUpstream,
                               TimePoint aNow) const;
   /// @returns upstreams that a suspect had better not start at
-  [[nodiscard]] std::vector<UpstreamId> Avoid(Fingerprint aFingerprint) const;
+  [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
+    Fingerprint aFingerprint) const;
   /// Records that an attempt started.
   void OnSent(const UpstreamId& aUpstream,
               Fingerprint aFingerprint,
@@ -83,7 +84,7 @@
   void OnEnded(const UpstreamId& aUpstream, Fingerprint aFingerprint);
   /// Records a whole answer.
   /// @returns what to tell other instances
-  [[nodiscard]] std::vector<SuspicionUpdate> OnWhole(
+  [[nodiscard]] std::vector<SuspicionUpdate> OnCompleted(
     const UpstreamId& aUpstream,
     Fingerprint aFingerprint);
   /// Records an attempt whose connection broke after bytes were sent.
@@ -103,13 +104,11 @@
   }
   /// @returns what to tell an instance that asks for a request; empty if
   /// nothing is known against it
-  [[nodiscard]] std::vector<SuspicionUpdate> Known(Fingerprint aFingerprint,
-                                                   TimePoint aNow) const;
+  [[nodiscard]] std::vector<SuspicionUpdate> KnownSuspicion(
+    Fingerprint aFingerprint,
+    TimePoint aNow) const;
   /// @returns fingerprints suspected or refused
-  [[nodiscard]] std::size_t Known() const noexcept
-  {
-    return suspicions_.size();
-  }
+  [[nodiscard]] std::size_t size() const noexcept { return suspicions_.size(); }
   /// @returns fingerprints now refused
   [[nodiscard]] std::size_t Refused(TimePoint aNow) const;
 
@@ -118,39 +117,41 @@
   {
     UpstreamId upstream_;
     /// When the request had started there.
-    TimePoint from_;
-    TimePoint at_;
+    TimePoint startedAt_;
+    TimePoint crashedAt_;
     /// When it became known here.
-    TimePoint reported_;
+    TimePoint reportedAt_;
   };
   using Running = std::multimap<Fingerprint, TimePoint>;
   struct Suspicion
   {
     std::vector<Crash> crashes_;
-    TimePoint until_;
+    TimePoint refusedUntil_;
     /// Quarantines so far.
-    std::uint32_t times_ = 0;
+    std::uint32_t quarantines_ = 0;
   };
 
   [[nodiscard]] static bool SameCrash(const Crash& aOne,
                                       const Crash& aOther) noexcept;
   static void AddCrash(Suspicion& aSuspicion, Crash aCrash);
-  [[nodiscard]] static bool WasAt(const Suspicion& aSuspicion,
-                                  const Crash& aCrash);
+  [[nodiscard]] static bool WasInvolvedIn(const Suspicion& aSuspicion,
+                                          const Crash& aCrash);
   /// @returns the settled crashes without those at which a refused request
   /// was that has more of them
-  [[nodiscard]] std::vector<Crash> Unexplained(const Suspicion& aSuspicion,
-                                               TimePoint aNow) const;
+  [[nodiscard]] std::vector<Crash> UnexplainedCrashes(
+    const Suspicion& aSuspicion,
+    TimePoint aNow) const;
   /// @returns the most crashes of another request that was at all of these
-  [[nodiscard]] std::size_t MostInCompany(
+  [[nodiscard]] std::size_t MaxCrashesInCommon(
     const Suspicion& aSuspicion,
     const std::vector<Crash>& aCrashes) const;
-  [[nodiscard]] bool IsDue(const Suspicion& aSuspicion, TimePoint aNow) const;
+  [[nodiscard]] bool IsQuarantineDue(const Suspicion& aSuspicion,
+                                     TimePoint aNow) const;
   void QuarantineIfDue(Suspicion& aSuspicion, TimePoint aNow) const;
   [[nodiscard]] static SuspicionUpdate Describe(Fingerprint aFingerprint,
                                                 const Suspicion& aSuspicion,
                                                 TimePoint aNow);
-  void Forget(Suspicion& aSuspicion, TimePoint aNow) const;
+  void ForgetOldCrashes(Suspicion& aSuspicion, TimePoint aNow) const;
   void BoundSize(Fingerprint aKeep);
   [[nodiscard]] static std::string DescribeRefusal(
     const std::vector<Crash>& aCrashes);
@@ -158,16 +159,17 @@
                                      Fingerprint aFingerprint) const;
   /// Ends the oldest attempt.
   /// @returns when it had started
-  TimePoint Stop(const UpstreamId& aUpstream,
-                 Fingerprint aFingerprint,
-                 TimePoint aNow);
-  [[nodiscard]] static TimePoint LastSeen(const Suspicion& aSuspicion) noexcept;
+  TimePoint EndAttempt(const UpstreamId& aUpstream,
+                       Fingerprint aFingerprint,
+                       TimePoint aNow);
+  [[nodiscard]] static TimePoint LastActive(
+    const Suspicion& aSuspicion) noexcept;
 
   QuarantineOptions options_;
   std::unordered_map<Fingerprint, Suspicion> suspicions_;
   /// Attempts in progress, by upstream, with their start.
   std::map<UpstreamId, Running> running_;
-  std::set<UpstreamId> others_;
+  std::set<UpstreamId> othersUpstreams_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/process/retry_budget.hpp
+++ b/include/marjoramtally/process/retry_budget.hpp
@@ -12,12 +12,12 @@
 struct RetryBudgetOptions
 {
   /// Retries earned by each success.
-  double share_ = 0.2;
+  double retriesPerSuccess_ = 0.2;
   /// Retries that a service has before its first success: one upstream's
   /// worth of requests in flight, so that its crash is not seen by callers.
   double initial_ = 64;
   /// Most retries that can be saved up.
-  double most_ = 256;
+  double maxBalance_ = 256;
 };
 
 /// Retry budgets of all services. Not thread-safe.
--- a/src/process/admission.cpp
+++ b/src/process/admission.cpp
@@ -141,11 +141,11 @@
 {
   const std::uint64_t share = Limits(RequestClass::Background).share_;
   return share > 0 && aQueue.background_.size() > 0 &&
-         aQueue.sinceBackground_ * share >= kPercent - share;
+         aQueue.dispatchesSinceBackground_ * share >= kPercent - share;
 }
 
 std::optional<TicketId>
-Admission::NextOfOthers(ServiceQueue& aQueue, TimePoint aNow)
+Admission::NextNonLive(ServiceQueue& aQueue, TimePoint aNow)
 {
   const auto trainer = aQueue.trainers_.Next(aNow);
   return trainer ? trainer : aQueue.background_.Next();
@@ -157,24 +157,24 @@
   ServiceQueue& queue = QueueOf(aService);
   const std::uint64_t reserve = Limits(RequestClass::Live).reserve_;
   const std::uint64_t open = queue.slots_ - queue.slots_ * reserve / kPercent;
-  const bool othersMay =
+  const bool nonLiveAllowed =
     queue.slots_ == 0 ||
-    queue.othersInFlight_ < std::max<std::uint64_t>(open, 1);
+    queue.nonLiveInFlight_ < std::max<std::uint64_t>(open, 1);
   std::optional<TicketId> ticket;
-  if (othersMay && BackgroundIsDue(queue)) {
+  if (nonLiveAllowed && BackgroundIsDue(queue)) {
     ticket = queue.background_.Next();
   }
   if (!ticket) {
     ticket = queue.live_.Next();
   }
-  if (!ticket && othersMay) {
-    ticket = NextOfOthers(queue, aNow);
+  if (!ticket && nonLiveAllowed) {
+    ticket = NextNonLive(queue, aNow);
   }
   return ticket ? &entries_.at(*ticket).request_ : nullptr;
 }
 
 void
-Admission::Withdraw(const Entry& aEntry)
+Admission::RemoveFromQueue(const Entry& aEntry)
 {
   const RequestSpec& spec = aEntry.request_.spec_;
   const TicketId ticket = aEntry.request_.ticket_;
@@ -193,7 +193,7 @@
 Admission::Dispatch(TicketId aTicket, TimePoint aNow)
 {
   Entry& entry = entries_.at(aTicket);
-  Withdraw(entry);
+  RemoveFromQueue(entry);
   const RequestClass requestClass = entry.request_.spec_.class_;
   ServiceQueue& queue = QueueOf(entry.request_.spec_.service_);
   if (requestClass == RequestClass::Trainer) {
@@ -202,9 +202,10 @@
   queue.refusal_.OnWaited(
     requestClass, entry.expectedWait_, aNow - entry.queuedAt_);
   const bool live = requestClass == RequestClass::Live;
-  queue.othersInFlight_ += live ? 0 : 1;
-  queue.sinceBackground_ =
-    requestClass == RequestClass::Background ? 0 : queue.sinceBackground_ + 1;
+  queue.nonLiveInFlight_ += live ? 0 : 1;
+  queue.dispatchesSinceBackground_ = requestClass == RequestClass::Background
+                                       ? 0
+                                       : queue.dispatchesSinceBackground_ + 1;
   entry.dispatched_ = true;
   entry.dispatchedAt_ = aNow;
 }
@@ -250,11 +251,11 @@
     queue.trainers_.Complete(aTicket, cost, aNow);
   }
   if (spec.class_ != RequestClass::Live) {
-    --queue.othersInFlight_;
+    --queue.nonLiveInFlight_;
   }
   const Duration took = aNow - entry.dispatchedAt_;
   if (!aTokens && aNow >= spec.deadline_) {
-    queue.refusal_.OnLate(spec.class_, entry.cost_, took);
+    queue.refusal_.OnDeadlinePassed(spec.class_, entry.cost_, took);
   }
   if (aTokens) {
     const bool backlog =
@@ -272,7 +273,7 @@
   if (it == entries_.end() || it->second.dispatched_) {
     return;
   }
-  Withdraw(it->second);
+  RemoveFromQueue(it->second);
   const RequestSpec& spec = it->second.request_.spec_;
   if (spec.class_ == RequestClass::Trainer) {
     QueueOf(spec.service_).trainers_.Remove(aTicket);
--- a/src/process/allocation.cpp
+++ b/src/process/allocation.cpp
@@ -82,9 +82,9 @@
   if (aUser.rule_.live_) {
     const bool over = aUser.demand_ > policy_.highWater_ * held;
     const bool under = aUser.average_ < policy_.lowWater_ * (held - 1.0);
-    const double middle = (policy_.highWater_ + policy_.lowWater_) / 2.0;
-    engines = over    ? std::max(aUser.demand_, aUser.average_) / middle
-              : under ? aUser.average_ / middle
+    const double targetLoad = (policy_.highWater_ + policy_.lowWater_) / 2.0;
+    engines = over    ? std::max(aUser.demand_, aUser.average_) / targetLoad
+              : under ? aUser.average_ / targetLoad
                       : held;
   }
   const auto wanted = static_cast<std::uint64_t>(std::ceil(engines));
@@ -107,7 +107,7 @@
 }
 
 Allocation::Targets
-Allocation::Share() const
+Allocation::ComputeTargets() const
 {
   Targets targets;
   std::uint64_t left = engines_.size();
@@ -160,20 +160,20 @@
 Allocation::Decide(TimePoint aNow)
 {
   std::vector<EngineMove> out;
-  const Targets targets = Share();
-  GiveFree(targets, aNow, out);
-  TakeBack(targets, aNow, out);
-  MoveSlowly(targets, aNow, out);
+  const Targets targets = ComputeTargets();
+  AssignFree(targets, aNow, out);
+  ReclaimForLive(targets, aNow, out);
+  Rebalance(targets, aNow, out);
   return out;
 }
 
 void
-Allocation::GiveFree(const Targets& aTargets,
-                     TimePoint aNow,
-                     std::vector<EngineMove>& aOut)
+Allocation::AssignFree(const Targets& aTargets,
+                       TimePoint aNow,
+                       std::vector<EngineMove>& aOut)
 {
   for (auto& entry : engines_) {
-    User* to = MostUnder(aTargets);
+    User* to = LargestDeficit(aTargets);
     if (entry.second.user_.Get().empty() && to != nullptr) {
       Move(entry, *to, false, aNow, aOut);
     }
@@ -181,14 +181,14 @@
 }
 
 void
-Allocation::TakeBack(const Targets& aTargets,
-                     TimePoint aNow,
-                     std::vector<EngineMove>& aOut)
+Allocation::ReclaimForLive(const Targets& aTargets,
+                           TimePoint aNow,
+                           std::vector<EngineMove>& aOut)
 {
   for (auto& [id, user] : users_) {
     while (user.rule_.live_ && user.held_ < aTargets.at(id)) {
-      const User* from = MostOver(aTargets);
-      auto* engine = from == nullptr ? nullptr : Oldest(from->rule_.id_);
+      const User* from = LargestSurplus(aTargets);
+      auto* engine = from == nullptr ? nullptr : LongestHeld(from->rule_.id_);
       if (engine == nullptr) {
         break;
       }
@@ -198,21 +198,21 @@
 }
 
 void
-Allocation::MoveSlowly(const Targets& aTargets,
-                       TimePoint aNow,
-                       std::vector<EngineMove>& aOut)
+Allocation::Rebalance(const Targets& aTargets,
+                      TimePoint aNow,
+                      std::vector<EngineMove>& aOut)
 {
-  const User* from = MostOver(aTargets);
-  User* to = MostUnder(aTargets);
+  const User* from = LargestSurplus(aTargets);
+  User* to = LargestDeficit(aTargets);
   if (from == nullptr || to == nullptr) {
-    differsSince_ = kNever;
+    imbalancedSince_ = kNever;
     return;
   }
-  if (differsSince_ == kNever) {
-    differsSince_ = aNow;
+  if (imbalancedSince_ == kNever) {
+    imbalancedSince_ = aNow;
   }
-  auto* engine = Oldest(from->rule_.id_);
-  if (aNow - differsSince_ < policy_.hold_ || engine == nullptr ||
+  auto* engine = LongestHeld(from->rule_.id_);
+  if (aNow - imbalancedSince_ < policy_.hold_ || engine == nullptr ||
       aNow - engine->second.movedAt_ < policy_.dwell_) {
     return;
   }
@@ -220,7 +220,7 @@
 }
 
 const Allocation::User*
-Allocation::MostOver(const Targets& aTargets) const
+Allocation::LargestSurplus(const Targets& aTargets) const
 {
   const User* most = nullptr;
   std::uint64_t over = 0;
@@ -235,7 +235,7 @@
 }
 
 Allocation::User*
-Allocation::MostUnder(const Targets& aTargets)
+Allocation::LargestDeficit(const Targets& aTargets)
 {
   User* most = nullptr;
   std::uint64_t under = 0;
@@ -250,7 +250,7 @@
 }
 
 std::pair<const UpstreamId, Allocation::Engine>*
-Allocation::Oldest(const EngineUserId& aUser)
+Allocation::LongestHeld(const EngineUserId& aUser)
 {
   std::pair<const UpstreamId, Engine>* oldest = nullptr;
   for (auto& entry : engines_) {
--- a/src/process/claims.cpp
+++ b/src/process/claims.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Tries of writing the end of a request.
-constexpr std::uint32_t kMostCloseTries = 5;
+constexpr std::uint32_t kMaxCloseTries = 5;
 
 } // namespace
 
@@ -20,65 +20,67 @@
 {
   if (!aEntry.answered_) {
     aOut.verdicts_.push_back(
-      { aEntry.ask_.ticket_, aAnswer, 0, std::move(aReason) });
+      { aEntry.request_.ticket_, aAnswer, 0, std::move(aReason) });
   }
   aEntry.answered_ = aEntry.answered_ || aAnswer != ClaimAnswer::Run;
 }
 
 ClaimVerdict
-ClaimTable::AnswerFrom(const ClaimAsk& aAsk, const ClaimRecord& aRecord)
+ClaimTable::AnswerFromRecord(const ClaimRequest& aRequest,
+                             const ClaimRecord& aRecord)
 {
-  if (aRecord.fingerprint_ != aAsk.fingerprint_) {
-    return { aAsk.ticket_,
+  if (aRecord.fingerprint_ != aRequest.fingerprint_) {
+    return { aRequest.ticket_,
              ClaimAnswer::KeyReused,
              0,
              "the idempotency key belongs to a different request" };
   }
   if (aRecord.state_ == ClaimState::Completed) {
-    return { aAsk.ticket_,
+    return { aRequest.ticket_,
              ClaimAnswer::AlreadyRan,
              aRecord.status_,
              "an earlier send of this request completed with status " +
                std::to_string(aRecord.status_) };
   }
-  return { aAsk.ticket_,
+  return { aRequest.ticket_,
            ClaimAnswer::MayHaveRun,
            0,
            "an earlier send of this request may have run" };
 }
 
 ClaimVerdict
-ClaimTable::AnswerResend(const ClaimAsk& aAsk, const Entry& aEntry) const
+ClaimTable::AnswerResend(const ClaimRequest& aRequest,
+                         const Entry& aEntry) const
 {
-  if (aEntry.record_.fingerprint_ != aAsk.fingerprint_ ||
+  if (aEntry.record_.fingerprint_ != aRequest.fingerprint_ ||
       aEntry.phase_ == Phase::Ended ||
       (aEntry.phase_ == Phase::Closing && !aEntry.release_)) {
-    return AnswerFrom(aAsk, aEntry.record_);
+    return AnswerFromRecord(aRequest, aEntry.record_);
   }
   if (aEntry.answered_ || aEntry.phase_ == Phase::Closing) {
-    return { aAsk.ticket_,
+    return { aRequest.ticket_,
              ClaimAnswer::Refused,
              0,
              "the claim of a refused send is not yet released" };
   }
-  return { aAsk.ticket_,
+  return { aRequest.ticket_,
            ClaimAnswer::InProgress,
            0,
            "an earlier send of this request is in progress" };
 }
 
 ClaimActions
-ClaimTable::Ask(ClaimAsk aAsk, TimePoint aNow)
+ClaimTable::Claim(ClaimRequest aRequest, TimePoint aNow)
 {
   ClaimActions out;
-  const auto known = entries_.find(aAsk.name_);
+  const auto known = entries_.find(aRequest.name_);
   if (known != entries_.end()) {
-    out.verdicts_.push_back(AnswerResend(aAsk, known->second));
+    out.verdicts_.push_back(AnswerResend(aRequest, known->second));
     return out;
   }
-  const bool slow = busy_ && aNow - started_ >= options_.slow_;
-  if (slow || aNow < pausedUntil_ || queue_.size() >= options_.mostWaiting_) {
-    out.verdicts_.push_back({ aAsk.ticket_,
+  const bool slow = busy_ && aNow - started_ >= options_.slowCommit_;
+  if (slow || aNow < pausedUntil_ || queue_.size() >= options_.maxWaiting_) {
+    out.verdicts_.push_back({ aRequest.ticket_,
                               ClaimAnswer::Refused,
                               0,
                               "the store that keeps claims does not answer" });
@@ -86,10 +88,10 @@
   }
   Entry entry;
   entry.record_.token_ = owner_ + "/" + std::to_string(++lastToken_);
-  entry.record_.fingerprint_ = aAsk.fingerprint_;
+  entry.record_.fingerprint_ = aRequest.fingerprint_;
   entry.since_ = aNow;
-  const std::string name = aAsk.name_;
-  entry.ask_ = std::move(aAsk);
+  const std::string name = aRequest.name_;
+  entry.request_ = std::move(aRequest);
   entries_.emplace(name, std::move(entry));
   queue_.push_back(name);
   Flush(aNow, out);
@@ -102,9 +104,9 @@
   if (busy_) {
     return;
   }
-  if (!parts_.empty()) {
-    std::vector<std::string> names = std::move(parts_.front());
-    parts_.pop_front();
+  if (!splitBatches_.empty()) {
+    std::vector<std::string> names = std::move(splitBatches_.front());
+    splitBatches_.pop_front();
     Start(std::move(names), aNow, aOut);
     return;
   }
@@ -112,7 +114,7 @@
     return;
   }
   std::vector<std::string> names;
-  while (!queue_.empty() && names.size() < options_.batch_) {
+  while (!queue_.empty() && names.size() < options_.maxBatch_) {
     names.push_back(std::move(queue_.front()));
     queue_.pop_front();
   }
@@ -153,21 +155,21 @@
   writing_ = std::move(aNames);
   busy_ = true;
   started_ = aNow;
-  nextCommit_ = aNow + options_.gap_;
+  nextCommit_ = aNow + options_.minCommitInterval_;
   aOut.batches_.push_back(std::move(batch));
 }
 
 ClaimWrite
 ClaimTable::WriteOf(const Entry& aEntry) const
 {
-  return { aEntry.ask_.name_,
+  return { aEntry.request_.name_,
            aEntry.release_ ? std::string() : EncodeClaim(aEntry.record_),
            aEntry.revision_ };
 }
 
 ClaimActions
 ClaimTable::OnCommit(ClaimBatchId aId,
-                     CommitEnd aEnd,
+                     CommitResult aEnd,
                      std::uint64_t aRevision,
                      TimePoint aNow)
 {
@@ -178,16 +180,16 @@
   busy_ = false;
   std::vector<std::string> names = std::move(writing_);
   writing_.clear();
-  if (aEnd == CommitEnd::Conflict) {
-    AfterConflict(std::move(names), aNow, out);
-  } else if (aEnd == CommitEnd::Applied) {
+  if (aEnd == CommitResult::Conflict) {
+    OnConflict(std::move(names), aNow, out);
+  } else if (aEnd == CommitResult::Applied) {
     for (const std::string& name : names) {
-      AfterApplied(name, aRevision, aNow, out);
+      OnApplied(name, aRevision, aNow, out);
     }
   } else {
-    pausedUntil_ = aNow + options_.pause_;
+    pausedUntil_ = aNow + options_.failurePause_;
     for (const std::string& name : names) {
-      AfterFailed(name, aEnd == CommitEnd::NoEffect, out);
+      OnFailed(name, aEnd == CommitResult::NoEffect, out);
     }
   }
   Flush(aNow, out);
@@ -195,35 +197,35 @@
 }
 
 void
-ClaimTable::AfterApplied(const std::string& aName,
-                         std::uint64_t aRevision,
-                         TimePoint aNow,
-                         ClaimActions& aOut)
+ClaimTable::OnApplied(const std::string& aName,
+                      std::uint64_t aRevision,
+                      TimePoint aNow,
+                      ClaimActions& aOut)
 {
   Entry& entry = entries_.at(aName);
   if (entry.phase_ == Phase::Closing) {
-    Closed(aName, entry, aOut);
+    OnClosed(aName, entry, aOut);
   } else {
-    Won(entry, aRevision, aNow, aOut);
+    OnClaimWon(entry, aRevision, aNow, aOut);
   }
 }
 
 void
-ClaimTable::AfterConflict(std::vector<std::string> aNames,
-                          TimePoint aNow,
-                          ClaimActions& aOut)
+ClaimTable::OnConflict(std::vector<std::string> aNames,
+                       TimePoint aNow,
+                       ClaimActions& aOut)
 {
   if (aNames.size() > 1) {
     const auto middle =
       aNames.begin() + static_cast<std::ptrdiff_t>(aNames.size() / 2);
-    parts_.emplace_back(aNames.begin(), middle);
-    parts_.emplace_back(middle, aNames.end());
+    splitBatches_.emplace_back(aNames.begin(), middle);
+    splitBatches_.emplace_back(middle, aNames.end());
     Flush(aNow, aOut);
     return;
   }
   Entry& entry = entries_.at(aNames.front());
   if (entry.phase_ == Phase::Closing) {
-    Closed(aNames.front(), entry, aOut);
+    OnClosed(aNames.front(), entry, aOut);
     return;
   }
   entry.phase_ = Phase::Reading;
@@ -231,20 +233,20 @@
 }
 
 void
-ClaimTable::AfterFailed(const std::string& aName,
-                        bool aNoEffect,
-                        ClaimActions& aOut)
+ClaimTable::OnFailed(const std::string& aName,
+                     bool aNoEffect,
+                     ClaimActions& aOut)
 {
   Entry& entry = entries_.at(aName);
   if (entry.phase_ == Phase::Closing) {
     // The revision protects it: writing it again cannot harm a later claim.
     if (!std::exchange(entry.answered_, true)) {
-      aOut.closed_.push_back(entry.ask_.ticket_);
+      aOut.closed_.push_back(entry.request_.ticket_);
     }
-    if (++entry.tries_ < kMostCloseTries) {
+    if (++entry.tries_ < kMaxCloseTries) {
       queue_.push_back(aName);
     } else {
-      Closed(aName, entry, aOut);
+      OnClosed(aName, entry, aOut);
     }
     return;
   }
--- a/src/process/claims_settle.cpp
+++ b/src/process/claims_resolution.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// Commits of one claim; when read back and absent, it is written again.
-constexpr std::uint32_t kMostTries = 2;
+constexpr std::uint32_t kMaxClaimRewrites = 2;
 
 } // namespace
 
 void
-ClaimTable::Won(Entry& aEntry,
-                std::uint64_t aRevision,
-                TimePoint aNow,
-                ClaimActions& aOut)
+ClaimTable::OnClaimWon(Entry& aEntry,
+                       std::uint64_t aRevision,
+                       TimePoint aNow,
+                       ClaimActions& aOut)
 {
   aEntry.revision_ = aRevision;
-  if (!aEntry.answered_ && aNow < aEntry.ask_.deadline_) {
+  if (!aEntry.answered_ && aNow < aEntry.request_.deadline_) {
     aEntry.phase_ = Phase::Running;
     Answer(aEntry, ClaimAnswer::Run, {}, aOut);
     return;
@@ -27,26 +27,28 @@
   aEntry.phase_ = Phase::Closing;
   aEntry.release_ = true;
   aEntry.tries_ = 0;
-  queue_.push_back(aEntry.ask_.name_);
+  queue_.push_back(aEntry.request_.name_);
 }
 
 void
-ClaimTable::Lost(const std::string& aName,
-                 const ClaimReading& aReading,
-                 TimePoint aNow,
-                 ClaimActions& aOut)
+ClaimTable::OnClaimNotWon(const std::string& aName,
+                          const ClaimReadResult& aReading,
+                          TimePoint aNow,
+                          ClaimActions& aOut)
 {
   Entry& entry = entries_.at(aName);
   if (aReading.record_) {
     // Another's claim: its state may still change, so nothing is kept.
     if (!entry.answered_) {
-      aOut.verdicts_.push_back(AnswerFrom(entry.ask_, *aReading.record_));
+      aOut.verdicts_.push_back(
+        AnswerFromRecord(entry.request_, *aReading.record_));
     }
     entries_.erase(aName);
     return;
   }
   const bool again = !aReading.failed_ && !entry.answered_ &&
-                     entry.tries_ < kMostTries && aNow < entry.ask_.deadline_;
+                     entry.tries_ < kMaxClaimRewrites &&
+                     aNow < entry.request_.deadline_;
   if (again) {
     ++entry.tries_;
     entry.phase_ = Phase::Queued;
@@ -67,7 +69,7 @@
 
 ClaimActions
 ClaimTable::OnRead(const std::string& aName,
-                   const ClaimReading& aReading,
+                   const ClaimReadResult& aReading,
                    TimePoint aNow)
 {
   ClaimActions out;
@@ -80,9 +82,9 @@
   const bool ours =
     aReading.record_ && aReading.record_->token_ == entry.record_.token_;
   if (ours) {
-    Won(entry, aReading.revision_, aNow, out);
+    OnClaimWon(entry, aReading.revision_, aNow, out);
   } else {
-    Lost(aName, aReading, aNow, out);
+    OnClaimNotWon(aName, aReading, aNow, out);
   }
   Flush(aNow, out);
   return out;
@@ -109,7 +111,7 @@
   if (!entry.release_) {
     // Its caller need not wait: a resend meets the claim anyway.
     entry.answered_ = true;
-    out.closed_.push_back(entry.ask_.ticket_);
+    out.closed_.push_back(entry.request_.ticket_);
   }
   queue_.push_back(aName);
   Flush(aNow, out);
@@ -117,10 +119,12 @@
 }
 
 void
-ClaimTable::Closed(const std::string& aName, Entry& aEntry, ClaimActions& aOut)
+ClaimTable::OnClosed(const std::string& aName,
+                     Entry& aEntry,
+                     ClaimActions& aOut)
 {
   if (!aEntry.answered_) {
-    aOut.closed_.push_back(aEntry.ask_.ticket_);
+    aOut.closed_.push_back(aEntry.request_.ticket_);
   }
   if (aEntry.release_) {
     entries_.erase(aName);
@@ -128,14 +132,14 @@
   }
   aEntry.answered_ = true;
   aEntry.phase_ = Phase::Ended;
-  Remember(aName);
+  RememberEnded(aName);
 }
 
 void
-ClaimTable::Remember(const std::string& aName)
+ClaimTable::RememberEnded(const std::string& aName)
 {
   ended_.push_back(aName);
-  if (ended_.size() > options_.remembered_) {
+  if (ended_.size() > options_.maxEnded_) {
     entries_.erase(ended_.front());
     ended_.pop_front();
   }
@@ -165,8 +169,8 @@
                         ClaimActions& aOut)
 {
   const bool stuck =
-    (busy_ && aNow - started_ >= options_.slow_) || aNow < pausedUntil_;
-  const bool late = aNow >= aEntry.ask_.deadline_;
+    (busy_ && aNow - started_ >= options_.slowCommit_) || aNow < pausedUntil_;
+  const bool late = aNow >= aEntry.request_.deadline_;
   if (aEntry.phase_ == Phase::Queued && (late || stuck)) {
     Answer(aEntry, ClaimAnswer::Refused, "its claim could not be made", aOut);
     if (aEntry.tries_ == 0) {
@@ -178,9 +182,10 @@
                       aEntry.phase_ == Phase::Reading)) {
     Answer(aEntry, ClaimAnswer::Refused, "its claim took too long", aOut);
   } else if (aEntry.phase_ == Phase::Orphan) {
-    if (aNow - aEntry.since_ >= options_.orphanLife_) {
+    if (aNow - aEntry.since_ >= options_.orphanLifetime_) {
       entries_.erase(aName);
-    } else if (aNow - aEntry.since_ >= options_.orphanRead_ * aEntry.tries_) {
+    } else if (aNow - aEntry.since_ >=
+               options_.orphanReadInterval_ * aEntry.tries_) {
       ++aEntry.tries_;
       aOut.reads_.push_back(aName);
     }
--- a/src/process/crash_watch.cpp
+++ b/src/process/crash_watch.cpp
@@ -5,7 +5,7 @@
 namespace marjoramtally {
 
 bool
-CrashWatch::MayBeCulprit(Fingerprint aFingerprint) const
+CrashWatch::IsSuspect(Fingerprint aFingerprint) const
 {
   return quarantine_.Suspects(aFingerprint) ||
          std::any_of(breaks_.begin(), breaks_.end(), [&](const Break& aBreak) {
@@ -14,16 +14,16 @@
 }
 
 std::vector<UpstreamId>
-CrashWatch::Avoid(Fingerprint aFingerprint) const
+CrashWatch::UpstreamsToAvoid(Fingerprint aFingerprint) const
 {
   std::vector<UpstreamId> avoid;
-  if (!MayBeCulprit(aFingerprint)) {
+  if (!IsSuspect(aFingerprint)) {
     return avoid;
   }
   for (const auto& [upstream, running] : running_) {
     const bool taken =
       std::any_of(running.begin(), running.end(), [&](const auto& aCall) {
-        return aCall.first != aFingerprint && MayBeCulprit(aCall.first);
+        return aCall.first != aFingerprint && IsSuspect(aCall.first);
       });
     if (taken) {
       avoid.push_back(upstream);
@@ -42,42 +42,42 @@
 }
 
 std::optional<TimePoint>
-CrashWatch::Stop(const UpstreamId& aUpstream, Fingerprint aFingerprint)
+CrashWatch::EndCall(const UpstreamId& aUpstream, Fingerprint aFingerprint)
 {
   const auto it = running_.find(aUpstream);
   if (it == running_.end()) {
     return std::nullopt;
   }
-  std::optional<TimePoint> from;
+  std::optional<TimePoint> sentAt;
   const auto call = it->second.find(aFingerprint);
   if (call != it->second.end()) {
-    from = call->second;
+    sentAt = call->second;
     it->second.erase(call);
   }
   if (it->second.empty()) {
     running_.erase(it);
   }
-  return from;
+  return sentAt;
 }
 
 void
 CrashWatch::OnEnded(const UpstreamId& aUpstream, Fingerprint aFingerprint)
 {
-  static_cast<void>(Stop(aUpstream, aFingerprint));
+  static_cast<void>(EndCall(aUpstream, aFingerprint));
 }
 
 CrashWatch::Updates
-CrashWatch::OnWhole(const UpstreamId& aUpstream, Fingerprint aFingerprint)
+CrashWatch::OnCompleted(const UpstreamId& aUpstream, Fingerprint aFingerprint)
 {
-  const auto from = Stop(aUpstream, aFingerprint);
+  const auto sentAt = EndCall(aUpstream, aFingerprint);
   std::erase_if(breaks_, [&](const Break& aBreak) {
     return aBreak.fingerprint_ == aFingerprint;
   });
-  if (from) {
+  if (sentAt) {
     // What was sent after a break and answered proves that the upstream lives.
-    ForgetBreaks(aUpstream, *from);
+    ForgetBreaks(aUpstream, *sentAt);
   }
-  return quarantine_.OnWhole(aUpstream, aFingerprint);
+  return quarantine_.OnCompleted(aUpstream, aFingerprint);
 }
 
 void
@@ -85,25 +85,26 @@
                      Fingerprint aFingerprint,
                      TimePoint aNow)
 {
-  const auto from = Stop(aUpstream, aFingerprint);
+  const auto sentAt = EndCall(aUpstream, aFingerprint);
   const auto registration = registered_.find(aUpstream);
   // Those that leave break connections as they go, some without notice after
   // the end of their registration.
-  if (!from || aNow - *from > options_.begun_ ||
+  if (!sentAt || aNow - *sentAt > options_.maxRunBeforeCrash_ ||
       registration == registered_.end() || registration->second.leaving_) {
     return;
   }
   DropOldBreaks(aNow);
-  if (breaks_.size() >= options_.most_) {
+  if (breaks_.size() >= options_.maxBreaks_) {
     breaks_.pop_front();
   }
-  breaks_.push_back({ aUpstream, aFingerprint, *from, aNow });
+  breaks_.push_back({ aUpstream, aFingerprint, *sentAt, aNow });
 }
 
 void
 CrashWatch::DropOldBreaks(TimePoint aNow)
 {
-  while (!breaks_.empty() && aNow - breaks_.front().at_ > options_.window_) {
+  while (!breaks_.empty() &&
+         aNow - breaks_.front().brokenAt_ > options_.maxRegistrationLag_) {
     breaks_.pop_front();
   }
 }
@@ -112,34 +113,36 @@
 CrashWatch::ForgetBreaks(const UpstreamId& aUpstream, TimePoint aBefore)
 {
   std::erase_if(breaks_, [&](const Break& aBreak) {
-    return aBreak.upstream_ == aUpstream && aBreak.at_ < aBefore;
+    return aBreak.upstream_ == aUpstream && aBreak.brokenAt_ < aBefore;
   });
 }
 
 CrashWatch::Updates
-CrashWatch::Blame(const UpstreamId& aUpstream, TimePoint aNow)
+CrashWatch::AttributeCrash(const UpstreamId& aUpstream, TimePoint aNow)
 {
   TimePoint last{};
   for (const Break& broken : breaks_) {
     if (broken.upstream_ == aUpstream) {
-      last = std::max(last, broken.at_);
+      last = std::max(last, broken.brokenAt_);
     }
   }
   Updates updates;
   for (const Break& broken : breaks_) {
     if (broken.upstream_ == aUpstream &&
-        aNow - broken.at_ <= options_.window_ &&
-        last - broken.at_ <= options_.together_) {
+        aNow - broken.brokenAt_ <= options_.maxRegistrationLag_ &&
+        last - broken.brokenAt_ <= options_.breakSpread_) {
       // Sent again to a dying upstream, or by two instances, a request breaks
       // twice by one crash.
-      const TimePoint from =
-        std::min(broken.from_, broken.at_ - options_.together_);
+      const TimePoint startedAt =
+        std::min(broken.sentAt_, broken.brokenAt_ - options_.breakSpread_);
       SuspicionUpdate update;
       update.fingerprint_ = broken.fingerprint_;
-      update.crashes_ = { { aUpstream, aNow - broken.at_, broken.at_ - from } };
+      update.crashes_ = {
+        { aUpstream, aNow - broken.brokenAt_, broken.brokenAt_ - startedAt }
+      };
       quarantine_.OnUpdate(update, aNow);
       // All that is known goes out, for those who missed an earlier report.
-      Updates known = Known(update.fingerprint_, aNow);
+      Updates known = KnownSuspicion(update.fingerprint_, aNow);
       std::move(known.begin(), known.end(), std::back_inserter(updates));
     }
   }
@@ -175,14 +178,14 @@
   if (announced || registration.leaving_) {
     ForgetBreaks(aEntry.id_, kNever);
   }
-  return restarted ? Blame(aEntry.id_, aNow) : Updates{};
+  return restarted ? AttributeCrash(aEntry.id_, aNow) : Updates{};
 }
 
 CrashWatch::Updates
 CrashWatch::OnEntry(const UpstreamEntry& aEntry, TimePoint aNow)
 {
   Updates updates = Register(aEntry, aNow);
-  ForgetBreaks(aEntry.id_, aNow - options_.renewed_);
+  ForgetBreaks(aEntry.id_, aNow - options_.minRenewalLag_);
   return updates;
 }
 
@@ -194,11 +197,11 @@
     return {};
   }
   std::erase_if(ended_, [&](const auto& aEnded) {
-    return aNow - aEnded.second.at_ > options_.returns_;
+    return aNow - aEnded.second.endedAt_ > options_.endedRetention_;
   });
   ended_[aUpstream] = { it->second.start_, aNow };
   registered_.erase(it);
-  return Blame(aUpstream, aNow);
+  return AttributeCrash(aUpstream, aNow);
 }
 
 CrashWatch::Updates
@@ -229,7 +232,7 @@
 CrashWatch::OnUpdate(const SuspicionUpdate& aUpdate, TimePoint aNow)
 {
   quarantine_.OnUpdate(aUpdate, aNow);
-  return Known(aUpdate.fingerprint_, aNow);
+  return KnownSuspicion(aUpdate.fingerprint_, aNow);
 }
 
 } // namespace marjoramtally
--- a/src/process/customer_table.cpp
+++ b/src/process/customer_table.cpp
@@ -86,8 +86,8 @@
   return key;
 }
 
-KeyJudgement
-JudgeKey(const CustomerTable& aCustomers,
+KeyCheck
+CheckKey(const CustomerTable& aCustomers,
          std::string_view aAuthorization,
          bool aPublic,
          Duration aAge,
--- a/src/process/early_refusal.cpp
+++ b/src/process/early_refusal.cpp
@@ -10,27 +10,27 @@
 /// Share of the estimate by which one value moves a quantile.
 constexpr double kQuantileStep = 0.03;
 /// Deviations above the mean time that a deadline must leave room for.
-constexpr double kDeviations = 1.5;
+constexpr double kServiceTimeDeviations = 1.5;
 /// Weight of a new time in the mean.
 constexpr double kServiceGain = 0.02;
 /// Completions of a window are one measurement of the drain rate.
-constexpr Duration kWindow = std::chrono::milliseconds(250);
+constexpr Duration kRateWindow = std::chrono::milliseconds(250);
 /// Weight of a new measurement.
 constexpr double kRateGain = 0.3;
 /// Waits expected to be shorter say nothing of the correction.
-constexpr Duration kLeastJudgedWait = std::chrono::milliseconds(5);
+constexpr Duration kMinLearnedWait = std::chrono::milliseconds(5);
 /// Bounds of the correction of expected waits.
-constexpr double kLeastCorrection = 0.5;
-constexpr double kGreatestCorrection = 10;
+constexpr double kMinCorrection = 0.5;
+constexpr double kMaxCorrection = 10;
 constexpr double kMicrosPerSecond = 1e6;
 /// Estimates beyond this are as good as never.
-constexpr double kLongestMicros = 3.6e9;
+constexpr double kMaxMicros = 3.6e9;
 
 Duration
 Micros(double aMicros) noexcept
 {
   return Duration(
-    static_cast<Duration::rep>(std::clamp(aMicros, 0.0, kLongestMicros)));
+    static_cast<Duration::rep>(std::clamp(aMicros, 0.0, kMaxMicros)));
 }
 
 } // namespace
@@ -55,7 +55,7 @@
                           bool aBacklog,
                           TimePoint aNow) noexcept
 {
-  LearnTime(aClass, aExpectedCost, aTook);
+  LearnServiceTime(aClass, aExpectedCost, aTook);
   if (!aBacklog || !windowOpen_) {
     windowOpen_ = aBacklog;
     windowCost_ = 0;
@@ -64,7 +64,7 @@
   }
   windowCost_ += std::max(aCost, 1.0);
   const Duration elapsed = aNow - windowStart_;
-  if (elapsed < kWindow) {
+  if (elapsed < kRateWindow) {
     return;
   }
   const double rate =
@@ -76,38 +76,39 @@
 }
 
 void
-EarlyRefusal::OnLate(RequestClass aClass,
-                     double aExpectedCost,
-                     Duration aTook) noexcept
+EarlyRefusal::OnDeadlinePassed(RequestClass aClass,
+                               double aExpectedCost,
+                               Duration aTook) noexcept
 {
   // The whole answer would have taken longer still.
   if (aTook > ServiceTime(aClass, aExpectedCost)) {
-    LearnTime(aClass, aExpectedCost, aTook);
+    LearnServiceTime(aClass, aExpectedCost, aTook);
   }
 }
 
 void
-EarlyRefusal::LearnTime(RequestClass aClass,
-                        double aExpectedCost,
-                        Duration aTook) noexcept
+EarlyRefusal::LearnServiceTime(RequestClass aClass,
+                               double aExpectedCost,
+                               Duration aTook) noexcept
 {
-  ServiceTimes& times = services_.at(static_cast<std::size_t>(aClass));
+  ServiceTimes& times = serviceTimes_.at(static_cast<std::size_t>(aClass));
   const double value =
     static_cast<double>(aTook.count()) / std::max(aExpectedCost, 1.0);
   if (times.perCost_ <= 0) {
     times.perCost_ = value;
     return;
   }
-  const double off = value - times.perCost_;
-  times.perCost_ += kServiceGain * off;
-  times.deviation_ += kServiceGain * (std::abs(off) - times.deviation_);
+  const double error = value - times.perCost_;
+  times.perCost_ += kServiceGain * error;
+  times.deviation_ += kServiceGain * (std::abs(error) - times.deviation_);
 }
 
 Duration
 EarlyRefusal::ServiceTime(RequestClass aClass, double aCost) const noexcept
 {
-  const ServiceTimes& times = services_.at(static_cast<std::size_t>(aClass));
-  return Micros((times.perCost_ + kDeviations * times.deviation_) *
+  const ServiceTimes& times =
+    serviceTimes_.at(static_cast<std::size_t>(aClass));
+  return Micros((times.perCost_ + kServiceTimeDeviations * times.deviation_) *
                 std::max(aCost, 1.0));
 }
 
@@ -116,7 +117,7 @@
                        Duration aExpected,
                        Duration aWaited) noexcept
 {
-  if (aExpected < kLeastJudgedWait) {
+  if (aExpected < kMinLearnedWait) {
     return;
   }
   const double ratio = static_cast<double>(aWaited.count()) /
@@ -125,15 +126,14 @@
   // Expectations carry the correction already, so the ratio is relative to it.
   const double absolute = ratio * WaitCorrection(aClass);
   waitRatio_.at(index).Add(
-    std::clamp(absolute, kLeastCorrection, kGreatestCorrection));
+    std::clamp(absolute, kMinCorrection, kMaxCorrection));
 }
 
 double
 EarlyRefusal::WaitCorrection(RequestClass aClass) const noexcept
 {
   const double ratio = waitRatio_.at(static_cast<std::size_t>(aClass)).Get();
-  return ratio <= 0 ? 1
-                    : std::clamp(ratio, kLeastCorrection, kGreatestCorrection);
+  return ratio <= 0 ? 1 : std::clamp(ratio, kMinCorrection, kMaxCorrection);
 }
 
 Duration
--- a/src/process/fair_queue.cpp
+++ b/src/process/fair_queue.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// Costs below this count as this, so that no request is free.
-constexpr double kLeastCost = 1;
+constexpr double kMinCost = 1;
 
 /// Greater for shorter requests; equal within a power of two.
 int
 Shortness(double aCost) noexcept
 {
-  return -std::ilogb(std::max(aCost, kLeastCost));
+  return -std::ilogb(std::max(aCost, kMinCost));
 }
 
 } // namespace
@@ -106,11 +106,11 @@
 void
 FairQueue::Push(const FairRequest& aRequest, TimePoint aNow)
 {
-  EndAnticipation(aNow);
+  ExpireAnticipation(aNow);
   const std::uint32_t index = IndexOf(aRequest.flow_);
   Entry entry;
   entry.flow_ = index;
-  entry.cost_ = std::max(aRequest.cost_, kLeastCost);
+  entry.cost_ = std::max(aRequest.cost_, kMinCost);
   entry.position_ = { !aRequest.front_,
                       Shortness(aRequest.cost_),
                       ++lastSequence_,
@@ -157,7 +157,7 @@
 std::optional<TicketId>
 FairQueue::Next(TimePoint aNow)
 {
-  EndAnticipation(aNow);
+  ExpireAnticipation(aNow);
   if (ready_.empty() || Throttled(*ready_.begin())) {
     return std::nullopt;
   }
@@ -199,7 +199,7 @@
   outstanding_.erase(outstanding_.find(entry.startTag_));
   Flow& flow = flows_[entry.flow_];
   Detach(entry.flow_);
-  flow.nextStart_ += (std::max(aCost, kLeastCost) - entry.cost_) / flow.weight_;
+  flow.nextStart_ += (std::max(aCost, kMinCost) - entry.cost_) / flow.weight_;
   --flow.inFlight_;
   const bool idle = flow.inFlight_ == 0 && flow.waiting_.empty();
   if (idle && settings_.anticipation_ > Duration::zero()) {
@@ -215,7 +215,7 @@
 }
 
 void
-FairQueue::EndAnticipation(TimePoint aNow)
+FairQueue::ExpireAnticipation(TimePoint aNow)
 {
   while (!blockingEnds_.empty() && blockingEnds_.begin()->first <= aNow) {
     const std::uint32_t index = blockingEnds_.begin()->second;
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -17,23 +17,23 @@
 }
 
 TimePoint
-Quarantine::LastSeen(const Suspicion& aSuspicion) noexcept
+Quarantine::LastActive(const Suspicion& aSuspicion) noexcept
 {
-  TimePoint last = aSuspicion.until_;
+  TimePoint last = aSuspicion.refusedUntil_;
   for (const Crash& crash : aSuspicion.crashes_) {
-    last = std::max(last, crash.at_);
+    last = std::max(last, crash.crashedAt_);
   }
   return last;
 }
 
 void
-Quarantine::Forget(Suspicion& aSuspicion, TimePoint aNow) const
+Quarantine::ForgetOldCrashes(Suspicion& aSuspicion, TimePoint aNow) const
 {
-  if (aNow < aSuspicion.until_) {
+  if (aNow < aSuspicion.refusedUntil_) {
     return;
   }
   std::erase_if(aSuspicion.crashes_, [&](const Crash& aCrash) {
-    return aNow - aCrash.at_ >= options_.memory_;
+    return aNow - aCrash.crashedAt_ >= options_.crashRetention_;
   });
 }
 
@@ -46,19 +46,19 @@
     return verdict;
   }
   Suspicion& suspicion = it->second;
-  Forget(suspicion, aNow);
+  ForgetOldCrashes(suspicion, aNow);
   QuarantineIfDue(suspicion, aNow);
-  if (aNow < suspicion.until_) {
+  if (aNow < suspicion.refusedUntil_) {
     verdict.refused_ = true;
-    verdict.retryAfter_ = suspicion.until_ - aNow;
+    verdict.retryAfter_ = suspicion.refusedUntil_ - aNow;
     verdict.reason_ = DescribeRefusal(suspicion.crashes_);
     return verdict;
   }
-  if (suspicion.crashes_.empty() && suspicion.times_ == 0) {
+  if (suspicion.crashes_.empty() && suspicion.quarantines_ == 0) {
     suspicions_.erase(it);
     return verdict;
   }
-  verdict.apart_ = true;
+  verdict.isolated_ = true;
   return verdict;
 }
 
@@ -82,8 +82,9 @@
   if (suspicion == suspicions_.end()) {
     return true;
   }
-  const bool recent = aNow - LastSeen(suspicion->second) < options_.patience_;
-  if (recent && others_.contains(aUpstream)) {
+  const bool recent =
+    aNow - LastActive(suspicion->second) < options_.ownUpstreamsOnly_;
+  if (recent && othersUpstreams_.contains(aUpstream)) {
     return false;
   }
   return std::none_of(
@@ -95,12 +96,13 @@
 }
 
 std::vector<UpstreamId>
-Quarantine::Avoid(Fingerprint aFingerprint) const
+Quarantine::UpstreamsToAvoid(Fingerprint aFingerprint) const
 {
   if (!suspicions_.contains(aFingerprint)) {
     return {};
   }
-  std::vector<UpstreamId> avoid(others_.begin(), others_.end());
+  std::vector<UpstreamId> avoid(othersUpstreams_.begin(),
+                                othersUpstreams_.end());
   for (const auto& [upstream, running] : running_) {
     if (HasOtherSuspect(running, aFingerprint)) {
       avoid.push_back(upstream);
@@ -118,34 +120,34 @@
 }
 
 TimePoint
-Quarantine::Stop(const UpstreamId& aUpstream,
-                 Fingerprint aFingerprint,
-                 TimePoint aNow)
+Quarantine::EndAttempt(const UpstreamId& aUpstream,
+                       Fingerprint aFingerprint,
+                       TimePoint aNow)
 {
   const auto it = running_.find(aUpstream);
   if (it == running_.end()) {
     return aNow;
   }
-  TimePoint from = aNow;
+  TimePoint startedAt = aNow;
   const auto attempt = it->second.find(aFingerprint);
   if (attempt != it->second.end()) {
-    from = attempt->second;
+    startedAt = attempt->second;
     it->second.erase(attempt);
   }
   if (it->second.empty()) {
     running_.erase(it);
   }
-  return from;
+  return startedAt;
 }
 
 void
 Quarantine::OnEnded(const UpstreamId& aUpstream, Fingerprint aFingerprint)
 {
-  static_cast<void>(Stop(aUpstream, aFingerprint, {}));
+  static_cast<void>(EndAttempt(aUpstream, aFingerprint, {}));
 }
 
 std::vector<SuspicionUpdate>
-Quarantine::OnWhole(const UpstreamId& aUpstream, Fingerprint aFingerprint)
+Quarantine::OnCompleted(const UpstreamId& aUpstream, Fingerprint aFingerprint)
 {
   OnEnded(aUpstream, aFingerprint);
   if (suspicions_.erase(aFingerprint) == 0) {
@@ -162,10 +164,10 @@
                      Fingerprint aFingerprint,
                      TimePoint aNow)
 {
-  const TimePoint from = Stop(aUpstream, aFingerprint, aNow);
+  const TimePoint startedAt = EndAttempt(aUpstream, aFingerprint, aNow);
   Suspicion& suspicion = suspicions_[aFingerprint];
-  Forget(suspicion, aNow);
-  AddCrash(suspicion, { aUpstream, from, aNow, aNow });
+  ForgetOldCrashes(suspicion, aNow);
+  AddCrash(suspicion, { aUpstream, startedAt, aNow, aNow });
   QuarantineIfDue(suspicion, aNow);
   SuspicionUpdate update = Describe(aFingerprint, suspicion, aNow);
   BoundSize(aFingerprint);
@@ -180,15 +182,17 @@
   SuspicionUpdate update;
   update.fingerprint_ = aFingerprint;
   for (const Crash& crash : aSuspicion.crashes_) {
-    update.crashes_.push_back(
-      { crash.upstream_, aNow - crash.at_, crash.at_ - crash.from_ });
+    update.crashes_.push_back({ crash.upstream_,
+                                aNow - crash.crashedAt_,
+                                crash.crashedAt_ - crash.startedAt_ });
   }
-  update.refusedFor_ = std::max(aSuspicion.until_ - aNow, Duration::zero());
+  update.refusedFor_ =
+    std::max(aSuspicion.refusedUntil_ - aNow, Duration::zero());
   return update;
 }
 
 std::vector<SuspicionUpdate>
-Quarantine::Known(Fingerprint aFingerprint, TimePoint aNow) const
+Quarantine::KnownSuspicion(Fingerprint aFingerprint, TimePoint aNow) const
 {
   const auto it = suspicions_.find(aFingerprint);
   if (it == suspicions_.end()) {
@@ -201,20 +205,21 @@
 bool
 Quarantine::SameCrash(const Crash& aOne, const Crash& aOther) noexcept
 {
-  return aOther.upstream_ == aOne.upstream_ && aOther.from_ <= aOne.at_ &&
-         aOne.from_ <= aOther.at_;
+  return aOther.upstream_ == aOne.upstream_ &&
+         aOther.startedAt_ <= aOne.crashedAt_ &&
+         aOne.startedAt_ <= aOther.crashedAt_;
 }
 
 void
 Quarantine::AddCrash(Suspicion& aSuspicion, Crash aCrash)
 {
-  if (!WasAt(aSuspicion, aCrash)) {
+  if (!WasInvolvedIn(aSuspicion, aCrash)) {
     aSuspicion.crashes_.push_back(std::move(aCrash));
   }
 }
 
 bool
-Quarantine::WasAt(const Suspicion& aSuspicion, const Crash& aCrash)
+Quarantine::WasInvolvedIn(const Suspicion& aSuspicion, const Crash& aCrash)
 {
   return std::any_of(
     aSuspicion.crashes_.begin(),
@@ -223,24 +228,25 @@
 }
 
 std::vector<Quarantine::Crash>
-Quarantine::Unexplained(const Suspicion& aSuspicion, TimePoint aNow) const
+Quarantine::UnexplainedCrashes(const Suspicion& aSuspicion,
+                               TimePoint aNow) const
 {
   std::vector<Crash> crashes;
   std::copy_if(aSuspicion.crashes_.begin(),
                aSuspicion.crashes_.end(),
                std::back_inserter(crashes),
                [&](const Crash& aCrash) {
-                 return aNow - aCrash.reported_ >= options_.settle_;
+                 return aNow - aCrash.reportedAt_ >= options_.settlingTime_;
                });
-  if (options_.crashesInCompany_ <= options_.crashes_ ||
+  if (options_.crashesInCommon_ <= options_.crashes_ ||
       crashes.size() < options_.crashes_) {
     return crashes;
   }
   for (const auto& [fingerprint, other] : suspicions_) {
-    if (aNow < other.until_ &&
+    if (aNow < other.refusedUntil_ &&
         other.crashes_.size() > aSuspicion.crashes_.size()) {
       std::erase_if(crashes, [&other = other](const Crash& aCrash) {
-        return WasAt(other, aCrash);
+        return WasInvolvedIn(other, aCrash);
       });
     }
   }
@@ -248,18 +254,18 @@
 }
 
 std::size_t
-Quarantine::MostInCompany(const Suspicion& aSuspicion,
-                          const std::vector<Crash>& aCrashes) const
+Quarantine::MaxCrashesInCommon(const Suspicion& aSuspicion,
+                               const std::vector<Crash>& aCrashes) const
 {
   std::size_t most = 0;
   for (const auto& [fingerprint, other] : suspicions_) {
-    const bool atAll = &other != &aSuspicion &&
-                       std::all_of(aCrashes.begin(),
-                                   aCrashes.end(),
-                                   [&other = other](const Crash& aCrash) {
-                                     return WasAt(other, aCrash);
-                                   });
-    if (atAll) {
+    const bool atEach = &other != &aSuspicion &&
+                        std::all_of(aCrashes.begin(),
+                                    aCrashes.end(),
+                                    [&other = other](const Crash& aCrash) {
+                                      return WasInvolvedIn(other, aCrash);
+                                    });
+    if (atEach) {
       most = std::max(most, other.crashes_.size());
     }
   }
@@ -267,40 +273,40 @@
 }
 
 bool
-Quarantine::IsDue(const Suspicion& aSuspicion, TimePoint aNow) const
+Quarantine::IsQuarantineDue(const Suspicion& aSuspicion, TimePoint aNow) const
 {
-  if (aNow < aSuspicion.until_ || aSuspicion.crashes_.empty()) {
+  if (aNow < aSuspicion.refusedUntil_ || aSuspicion.crashes_.empty()) {
     return false;
   }
-  const std::vector<Crash> crashes = Unexplained(aSuspicion, aNow);
+  const std::vector<Crash> crashes = UnexplainedCrashes(aSuspicion, aNow);
   // After a quarantine one more crash is enough.
-  if (aSuspicion.times_ > 0) {
+  if (aSuspicion.quarantines_ > 0) {
     return std::any_of(
       crashes.begin(), crashes.end(), [&](const Crash& aCrash) {
-        return aCrash.reported_ >= aSuspicion.until_;
+        return aCrash.reportedAt_ >= aSuspicion.refusedUntil_;
       });
   }
   if (crashes.size() < options_.crashes_ ||
-      options_.crashesInCompany_ <= options_.crashes_) {
+      options_.crashesInCommon_ <= options_.crashes_) {
     return crashes.size() >= options_.crashes_;
   }
-  const std::size_t others = MostInCompany(aSuspicion, crashes);
+  const std::size_t others = MaxCrashesInCommon(aSuspicion, crashes);
   const std::size_t own = aSuspicion.crashes_.size();
   return others < own ||
-         (others == own && crashes.size() >= options_.crashesInCompany_);
+         (others == own && crashes.size() >= options_.crashesInCommon_);
 }
 
 void
 Quarantine::QuarantineIfDue(Suspicion& aSuspicion, TimePoint aNow) const
 {
-  if (!IsDue(aSuspicion, aNow)) {
+  if (!IsQuarantineDue(aSuspicion, aNow)) {
     return;
   }
-  constexpr std::uint32_t kMostDoublings = 16;
-  const auto factor = 1U << std::min(aSuspicion.times_, kMostDoublings);
-  aSuspicion.until_ =
-    aNow + std::min(options_.first_ * factor, options_.longest_);
-  ++aSuspicion.times_;
+  constexpr std::uint32_t kMaxDoublings = 16;
+  const auto factor = 1U << std::min(aSuspicion.quarantines_, kMaxDoublings);
+  aSuspicion.refusedUntil_ = aNow + std::min(options_.firstQuarantine_ * factor,
+                                             options_.maxQuarantine_);
+  ++aSuspicion.quarantines_;
 }
 
 void
@@ -311,16 +317,17 @@
     return;
   }
   Suspicion& suspicion = suspicions_[aUpdate.fingerprint_];
-  Forget(suspicion, aNow);
+  ForgetOldCrashes(suspicion, aNow);
   for (const CrashReport& crash : aUpdate.crashes_) {
     const TimePoint at = aNow - crash.age_;
     AddCrash(suspicion, { crash.upstream_, at - crash.ran_, at, aNow });
   }
   const TimePoint until =
-    aNow + std::min(aUpdate.refusedFor_, options_.longest_);
-  if (aUpdate.refusedFor_ > Duration::zero() && until > suspicion.until_) {
-    suspicion.until_ = until;
-    suspicion.times_ = std::max(suspicion.times_, 1U);
+    aNow + std::min(aUpdate.refusedFor_, options_.maxQuarantine_);
+  if (aUpdate.refusedFor_ > Duration::zero() &&
+      until > suspicion.refusedUntil_) {
+    suspicion.refusedUntil_ = until;
+    suspicion.quarantines_ = std::max(suspicion.quarantines_, 1U);
   }
   QuarantineIfDue(suspicion, aNow);
   BoundSize(aUpdate.fingerprint_);
@@ -336,10 +343,11 @@
         return aCrash.upstream_ == aUpstream;
       });
     if (withdrawn > 0 && suspicion.crashes_.size() < options_.crashes_) {
-      suspicion.until_ = std::min(suspicion.until_, aNow);
-      suspicion.times_ = 0;
+      suspicion.refusedUntil_ = std::min(suspicion.refusedUntil_, aNow);
+      suspicion.quarantines_ = 0;
     }
-    const bool clear = suspicion.crashes_.empty() && suspicion.times_ == 0;
+    const bool clear =
+      suspicion.crashes_.empty() && suspicion.quarantines_ == 0;
     it = clear ? suspicions_.erase(it) : std::next(it);
   }
 }
@@ -347,13 +355,13 @@
 void
 Quarantine::BoundSize(Fingerprint aKeep)
 {
-  if (suspicions_.size() <= options_.most_) {
+  if (suspicions_.size() <= options_.maxSuspicions_) {
     return;
   }
   auto oldest = suspicions_.end();
   for (auto it = suspicions_.begin(); it != suspicions_.end(); ++it) {
     const bool older = oldest == suspicions_.end() ||
-                       LastSeen(it->second) < LastSeen(oldest->second);
+                       LastActive(it->second) < LastActive(oldest->second);
     if (it->first != aKeep && older) {
       oldest = it;
     }
@@ -366,7 +374,7 @@
 {
   return static_cast<std::size_t>(std::count_if(
     suspicions_.begin(), suspicions_.end(), [&](const auto& aEntry) {
-      return aNow < aEntry.second.until_;
+      return aNow < aEntry.second.refusedUntil_;
     }));
 }
 
--- a/src/process/retry_budget.cpp
+++ b/src/process/retry_budget.cpp
@@ -14,7 +14,8 @@
 RetryBudget::OnSuccess(const ServiceId& aService)
 {
   double& balance = Balance(aService);
-  balance = std::min(balance + options_.share_, options_.most_);
+  balance =
+    std::min(balance + options_.retriesPerSuccess_, options_.maxBalance_);
 }
 
 bool
--- a/src/programs/entryd/claim_gate.cpp
+++ b/src/programs/entryd/claim_gate.cpp
@@ -24,7 +24,7 @@
   return aInstance + "." + std::to_string(device()) + std::to_string(device());
 }
 
-CommitEnd
+CommitResult
 EndOf(const Result<StoreCommit>& aResult)
 {
   if (!aResult) {
@@ -32,9 +32,10 @@
     const ErrorKind kind = aResult.error().kind_;
     const bool proven =
       kind == ErrorKind::Unavailable || kind == ErrorKind::NotFound;
-    return proven ? CommitEnd::NoEffect : CommitEnd::Unknown;
+    return proven ? CommitResult::NoEffect : CommitResult::Unknown;
   }
-  return aResult.value().applied_ ? CommitEnd::Applied : CommitEnd::Conflict;
+  return aResult.value().applied_ ? CommitResult::Applied
+                                  : CommitResult::Conflict;
 }
 
 /// How an answer looks to its caller.
@@ -98,8 +99,8 @@
     entries += instance.role_ == "entry" ? 1 : 0;
   }
   const std::lock_guard lock(mutex_);
-  table_.SetGap(Duration(std::chrono::seconds(1)) * entries /
-                kCommitsPerSecond);
+  table_.SetMinCommitInterval(Duration(std::chrono::seconds(1)) * entries /
+                              kCommitsPerSecond);
 }
 
 void
@@ -140,7 +141,7 @@
 void
 ClaimGate::Ask(const RequestSpec& aSpec, Decided aDecided)
 {
-  ClaimAsk ask;
+  ClaimRequest ask;
   ask.name_ = ClaimName(aSpec.service_, aSpec.key_);
   ask.fingerprint_ = Fingerprint{ aSpec.fingerprint_ };
   ask.deadline_ = aSpec.deadline_;
@@ -149,7 +150,7 @@
     const std::lock_guard lock(mutex_);
     ask.ticket_ = ClaimTicket{ ++lastTicket_ };
     asking_.emplace(ask.ticket_, Asking{ ask.name_, std::move(aDecided) });
-    actions = table_.Ask(std::move(ask), host_.Now());
+    actions = table_.Claim(std::move(ask), host_.Now());
   }
   Perform(std::move(actions));
 }
@@ -281,7 +282,7 @@
     std::string(kClaimPrefix) + aName + std::string(kNameEnd);
   host_.PlatformStore().Read(
     key, [this, aName](const Result<StoreRange>& aRange) {
-      ClaimReading reading;
+      ClaimReadResult reading;
       reading.failed_ = !aRange;
       if (aRange && !aRange.value().records_.empty()) {
         const StoreRecord& record = aRange.value().records_.front();
--- a/src/programs/entryd/crash_guard.cpp
+++ b/src/programs/entryd/crash_guard.cpp
@@ -40,7 +40,7 @@
     }
   }
   const std::lock_guard lock(mutex_);
-  quarantine_.SetOthers(std::move(others));
+  quarantine_.SetOthersUpstreams(std::move(others));
 }
 
 bool
@@ -62,10 +62,10 @@
                   std::vector<UpstreamId> aTried) const
 {
   const std::lock_guard lock(mutex_);
-  if (quarantine_.Known() == 0) {
+  if (quarantine_.size() == 0) {
     return aTried;
   }
-  const auto avoid = quarantine_.Avoid(FingerprintOf(aSpec));
+  const auto avoid = quarantine_.UpstreamsToAvoid(FingerprintOf(aSpec));
   aTried.insert(aTried.end(), avoid.begin(), avoid.end());
   return aTried;
 }
@@ -94,7 +94,7 @@
   {
     const std::lock_guard lock(mutex_);
     if (aEnd == AttemptEnd::Whole) {
-      updates = quarantine_.OnWhole(aUpstream, fingerprint);
+      updates = quarantine_.OnCompleted(aUpstream, fingerprint);
     } else if (aHttpEnd == HttpEnd::Broken) {
       updates = quarantine_.OnBroken(aUpstream, fingerprint, host_.Now());
     } else {
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -368,8 +368,8 @@
                            ? settings.keyLimit_
                            : settings.configBound_ + settings.configStretch_;
   const Duration age = ConfigAge();
-  const KeyJudgement judgement =
-    JudgeKey(routes_.Customers(),
+  const KeyCheck judgement =
+    CheckKey(routes_.Customers(),
              FindHeader(aRequest.headers_, "Authorization").value_or(""),
              aPublic,
              age,
--- a/src/programs/gatewayd/request_quarantine.cpp
+++ b/src/programs/gatewayd/request_quarantine.cpp
@@ -73,7 +73,8 @@
   if (!logged_.try_emplace(aFingerprint, now + aVerdict.retryAfter_).second) {
     return;
   }
-  for (const SuspicionUpdate& known : watch_.Known(aFingerprint, now)) {
+  for (const SuspicionUpdate& known :
+       watch_.KnownSuspicion(aFingerprint, now)) {
     LogEvent(LogLevel::Warn,
              "quarantined",
              { { "fingerprint", Hex(aFingerprint) },
@@ -89,7 +90,7 @@
 RequestQuarantine::IsApart(Fingerprint aFingerprint,
                            const UpstreamId& aUpstream) const
 {
-  const auto avoid = watch_.Avoid(aFingerprint);
+  const auto avoid = watch_.UpstreamsToAvoid(aFingerprint);
   return std::find(avoid.begin(), avoid.end(), aUpstream) == avoid.end();
 }
 
@@ -99,7 +100,7 @@
                          CallEnd aEnd)
 {
   if (aEnd == CallEnd::Answered) {
-    Publish(watch_.OnWhole(aUpstream, aFingerprint));
+    Publish(watch_.OnCompleted(aUpstream, aFingerprint));
   } else if (aEnd == CallEnd::Broken) {
     watch_.OnBroken(aUpstream, aFingerprint, host_.Now());
   } else {
--- a/src/programs/gatewayd/request_quarantine.hpp
+++ b/src/programs/gatewayd/request_quarantine.hpp
@@ -41,7 +41,7 @@
   /// @returns upstreams that are better not chosen
   [[nodiscard]] std::vector<UpstreamId> Avoid(Fingerprint aFingerprint) const
   {
-    return watch_.Avoid(aFingerprint);
+    return watch_.UpstreamsToAvoid(aFingerprint);
   }
   void OnSent(Fingerprint aFingerprint, const UpstreamId& aUpstream)
   {
--- a/tests/test_claims.cpp
+++ b/tests/test_claims.cpp
@@ -16,14 +16,14 @@
   std::uint64_t revision_ = 1;
   std::uint64_t commits_ = 0;
 
-  CommitEnd Apply(const ClaimBatch& aBatch)
+  CommitResult Apply(const ClaimBatch& aBatch)
   {
     ++commits_;
     for (const ClaimWrite& write : aBatch.writes_) {
       const auto it = records_.find(write.name_);
       const std::uint64_t now = it == records_.end() ? 0 : it->second.second;
       if (now != write.expected_) {
-        return CommitEnd::Conflict;
+        return CommitResult::Conflict;
       }
     }
     ++revision_;
@@ -34,12 +34,12 @@
         records_[write.name_] = { write.value_, revision_ };
       }
     }
-    return CommitEnd::Applied;
+    return CommitResult::Applied;
   }
 
-  ClaimReading Read(const std::string& aName) const
+  ClaimReadResult Read(const std::string& aName) const
   {
-    ClaimReading reading;
+    ClaimReadResult reading;
     const auto it = records_.find(aName);
     if (it != records_.end()) {
       reading.record_ = DecodeClaim(it->second.first);
@@ -80,7 +80,7 @@
         held_.push_back(std::move(batch));
         continue;
       }
-      const CommitEnd end = store_.Apply(batch);
+      const CommitResult end = store_.Apply(batch);
       Perform(table_.OnCommit(batch.id_, end, store_.revision_, clock_.Now()));
     }
     for (const std::string& name : aActions.reads_) {
@@ -88,16 +88,16 @@
     }
   }
 
-  void Ask(const std::string& aName, std::uint64_t aBody = kBody)
+  void Claim(const std::string& aName, std::uint64_t aBody = kBody)
   {
     const TimePoint deadline = clock_.Now() + std::chrono::seconds(2);
-    Perform(table_.Ask(
+    Perform(table_.Claim(
       { ClaimTicket{ ++ticket_ }, aName, Fingerprint{ aBody }, deadline },
       clock_.Now()));
   }
 
   /// Ends the transaction that is held back.
-  void Release(CommitEnd aEnd)
+  void Release(CommitResult aEnd)
   {
     hold_ = false;
     const ClaimBatch batch = held_.front();
@@ -115,7 +115,7 @@
   [[nodiscard]] ClaimAnswer Last() const { return verdicts_.back().answer_; }
 };
 
-struct World
+struct Fixture
 {
   FakeStore store_;
   ManualClock clock_;
@@ -127,153 +127,158 @@
 
 TEST_CASE("one of two instances runs a key, in whatever state the other is")
 {
-  World world;
-  world.first_.Ask("k");
-  CHECK(world.first_.Last() == ClaimAnswer::Run);
-  world.first_.Ask("k");
-  CHECK(world.first_.Last() == ClaimAnswer::InProgress);
+  Fixture fixture;
+  fixture.first_.Claim("k");
+  CHECK(fixture.first_.Last() == ClaimAnswer::Run);
+  fixture.first_.Claim("k");
+  CHECK(fixture.first_.Last() == ClaimAnswer::InProgress);
   // The first instance may be dead by now: the record alone decides.
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::MayHaveRun);
-  world.first_.End("k", Outcome::Completed);
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::AlreadyRan);
-  CHECK(world.second_.verdicts_.back().status_ == 200);
-  world.second_.Ask("k", kBody + 1);
-  CHECK(world.second_.Last() == ClaimAnswer::KeyReused);
-  world.first_.Ask("k");
-  CHECK(world.first_.Last() == ClaimAnswer::AlreadyRan);
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::MayHaveRun);
+  fixture.first_.End("k", Outcome::Completed);
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::AlreadyRan);
+  CHECK(fixture.second_.verdicts_.back().status_ == 200);
+  fixture.second_.Claim("k", kBody + 1);
+  CHECK(fixture.second_.Last() == ClaimAnswer::KeyReused);
+  fixture.first_.Claim("k");
+  CHECK(fixture.first_.Last() == ClaimAnswer::AlreadyRan);
 }
 
 TEST_CASE("a lost answer is read back by the claim's token")
 {
-  World world;
-  world.first_.hold_ = true;
-  world.first_.Ask("k");
+  Fixture fixture;
+  fixture.first_.hold_ = true;
+  fixture.first_.Claim("k");
   SECTION("the claim took effect: it runs here and nowhere else")
   {
-    CHECK(world.store_.Apply(world.first_.held_.front()) == CommitEnd::Applied);
-    world.second_.Ask("k");
-    CHECK(world.second_.Last() == ClaimAnswer::MayHaveRun);
-    world.first_.Release(CommitEnd::Unknown);
-    CHECK(world.first_.Last() == ClaimAnswer::Run);
+    CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
+          CommitResult::Applied);
+    fixture.second_.Claim("k");
+    CHECK(fixture.second_.Last() == ClaimAnswer::MayHaveRun);
+    fixture.first_.Release(CommitResult::Unknown);
+    CHECK(fixture.first_.Last() == ClaimAnswer::Run);
   }
   SECTION("another instance claimed first")
   {
-    world.second_.Ask("k");
-    CHECK(world.second_.Last() == ClaimAnswer::Run);
-    world.first_.Release(CommitEnd::Unknown);
-    CHECK(world.first_.Last() == ClaimAnswer::MayHaveRun);
+    fixture.second_.Claim("k");
+    CHECK(fixture.second_.Last() == ClaimAnswer::Run);
+    fixture.first_.Release(CommitResult::Unknown);
+    CHECK(fixture.first_.Last() == ClaimAnswer::MayHaveRun);
   }
   SECTION("the transport sent the write twice and reports the second")
   {
-    CHECK(world.store_.Apply(world.first_.held_.front()) == CommitEnd::Applied);
-    world.first_.Release(CommitEnd::Conflict);
-    CHECK(world.first_.Last() == ClaimAnswer::Run);
+    CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
+          CommitResult::Applied);
+    fixture.first_.Release(CommitResult::Conflict);
+    CHECK(fixture.first_.Last() == ClaimAnswer::Run);
   }
 }
 
 TEST_CASE("a claim that is absent when read back can take effect later")
 {
-  World world;
-  world.first_.hold_ = true;
-  world.first_.Ask("k");
-  const ClaimBatch delayed = world.first_.held_.front();
-  world.first_.Release(CommitEnd::Unknown);
+  Fixture fixture;
+  fixture.first_.hold_ = true;
+  fixture.first_.Claim("k");
+  const ClaimBatch delayed = fixture.first_.held_.front();
+  fixture.first_.Release(CommitResult::Unknown);
   // After the pause it is refused, and never runs here.
-  world.first_.Tick();
-  REQUIRE(world.first_.verdicts_.size() == 1);
-  CHECK(world.first_.Last() == ClaimAnswer::Refused);
-  CHECK(world.store_.Apply(delayed) == CommitEnd::Applied);
+  fixture.first_.Tick();
+  REQUIRE(fixture.first_.verdicts_.size() == 1);
+  CHECK(fixture.first_.Last() == ClaimAnswer::Refused);
+  CHECK(fixture.store_.Apply(delayed) == CommitResult::Applied);
   // What takes effect late is found and taken out, so that a resend runs.
   for (int i = 0; i < 10; ++i) {
-    world.clock_.Advance(std::chrono::seconds(1));
-    world.first_.Tick();
+    fixture.clock_.Advance(std::chrono::seconds(1));
+    fixture.first_.Tick();
   }
-  CHECK(world.first_.verdicts_.size() == 1);
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::Run);
+  CHECK(fixture.first_.verdicts_.size() == 1);
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::Run);
 }
 
 TEST_CASE("with the store down claims are refused, later ones at once")
 {
-  World world;
-  world.first_.hold_ = true;
-  world.first_.Ask("k");
-  world.first_.Release(CommitEnd::NoEffect);
-  CHECK(world.first_.Last() == ClaimAnswer::Refused);
-  world.first_.Ask("l");
-  CHECK(world.first_.verdicts_.size() == 2);
-  CHECK(world.first_.Last() == ClaimAnswer::Refused);
-  CHECK(world.store_.commits_ == 0);
-  world.clock_.Advance(std::chrono::seconds(1));
-  world.first_.Ask("k");
-  CHECK(world.first_.Last() == ClaimAnswer::Run);
+  Fixture fixture;
+  fixture.first_.hold_ = true;
+  fixture.first_.Claim("k");
+  fixture.first_.Release(CommitResult::NoEffect);
+  CHECK(fixture.first_.Last() == ClaimAnswer::Refused);
+  fixture.first_.Claim("l");
+  CHECK(fixture.first_.verdicts_.size() == 2);
+  CHECK(fixture.first_.Last() == ClaimAnswer::Refused);
+  CHECK(fixture.store_.commits_ == 0);
+  fixture.clock_.Advance(std::chrono::seconds(1));
+  fixture.first_.Claim("k");
+  CHECK(fixture.first_.Last() == ClaimAnswer::Run);
 }
 
 TEST_CASE("a claim won after its deadline is released and never run")
 {
-  World world;
-  world.first_.hold_ = true;
-  world.first_.Ask("k");
-  CHECK(world.store_.Apply(world.first_.held_.front()) == CommitEnd::Applied);
-  world.clock_.Advance(std::chrono::minutes(5));
-  world.first_.Release(CommitEnd::Applied);
-  CHECK(world.first_.Last() == ClaimAnswer::Refused);
-  CHECK(world.store_.records_.empty());
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::Run);
+  Fixture fixture;
+  fixture.first_.hold_ = true;
+  fixture.first_.Claim("k");
+  CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
+        CommitResult::Applied);
+  fixture.clock_.Advance(std::chrono::minutes(5));
+  fixture.first_.Release(CommitResult::Applied);
+  CHECK(fixture.first_.Last() == ClaimAnswer::Refused);
+  CHECK(fixture.store_.records_.empty());
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::Run);
 }
 
 TEST_CASE("a refused run is answered once its claim is released")
 {
-  World world;
-  world.first_.Ask("k");
-  world.first_.hold_ = true;
-  world.first_.End("k", Outcome::RefusedNotRun);
-  CHECK(world.first_.closed_.empty());
-  CHECK(world.store_.Apply(world.first_.held_.front()) == CommitEnd::Applied);
+  Fixture fixture;
+  fixture.first_.Claim("k");
+  fixture.first_.hold_ = true;
+  fixture.first_.End("k", Outcome::RefusedNotRun);
+  CHECK(fixture.first_.closed_.empty());
+  CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
+        CommitResult::Applied);
   // A release that is sent again must not take out a later claim.
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::Run);
-  world.first_.Release(CommitEnd::Unknown);
-  world.clock_.Advance(std::chrono::seconds(1));
-  world.first_.Tick();
-  CHECK(world.first_.closed_.size() == 1);
-  world.first_.Ask("k");
-  CHECK(world.first_.Last() == ClaimAnswer::MayHaveRun);
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::Run);
+  fixture.first_.Release(CommitResult::Unknown);
+  fixture.clock_.Advance(std::chrono::seconds(1));
+  fixture.first_.Tick();
+  CHECK(fixture.first_.closed_.size() == 1);
+  fixture.first_.Claim("k");
+  CHECK(fixture.first_.Last() == ClaimAnswer::MayHaveRun);
 }
 
 TEST_CASE("an unknown end is recorded as unknown")
 {
-  World world;
-  world.first_.Ask("k");
-  world.first_.End("k", Outcome::Unknown);
-  CHECK(world.first_.closed_.size() == 1);
-  world.second_.Ask("k");
-  CHECK(world.second_.Last() == ClaimAnswer::MayHaveRun);
+  Fixture fixture;
+  fixture.first_.Claim("k");
+  fixture.first_.End("k", Outcome::Unknown);
+  CHECK(fixture.first_.closed_.size() == 1);
+  fixture.second_.Claim("k");
+  CHECK(fixture.second_.Last() == ClaimAnswer::MayHaveRun);
 }
 
 TEST_CASE("claims that wait go in one transaction, conflicts apart")
 {
-  World world;
-  world.second_.Ask("k3");
-  world.first_.hold_ = true;
-  world.first_.Ask("first");
+  Fixture fixture;
+  fixture.second_.Claim("k3");
+  fixture.first_.hold_ = true;
+  fixture.first_.Claim("first");
   for (int i = 0; i < 16; ++i) {
-    world.first_.Ask("k" + std::to_string(i));
+    fixture.first_.Claim("k" + std::to_string(i));
   }
-  CHECK(world.first_.held_.size() == 1);
-  CHECK(world.store_.Apply(world.first_.held_.front()) == CommitEnd::Applied);
-  const std::uint64_t before = world.store_.commits_;
-  world.first_.Release(CommitEnd::Applied);
+  CHECK(fixture.first_.held_.size() == 1);
+  CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
+        CommitResult::Applied);
+  const std::uint64_t before = fixture.store_.commits_;
+  fixture.first_.Release(CommitResult::Applied);
   const auto run = std::count_if(
-    world.first_.verdicts_.begin(),
-    world.first_.verdicts_.end(),
+    fixture.first_.verdicts_.begin(),
+    fixture.first_.verdicts_.end(),
     [](const auto& aVerdict) { return aVerdict.answer_ == ClaimAnswer::Run; });
   CHECK(run == 16);
   // One of 16, then halves down to the one that conflicts: 1 + 2 * 4.
-  CHECK(world.store_.commits_ - before == 9);
+  CHECK(fixture.store_.commits_ - before == 9);
 }
 
 TEST_CASE("claim records survive their text form and others do not")
--- a/tests/test_crash_fleet.cpp
+++ b/tests/test_crash_fleet.cpp
@@ -17,24 +17,24 @@
 constexpr std::size_t kSlots = 6;
 constexpr auto kRound = 20ms;
 /// Calm time after which all instances have to know.
-constexpr auto kContact = 3s;
+constexpr auto kNotificationTime = 3s;
 const Fingerprint kCulprit{ 1 };
 
-struct DayResult
+struct FleetResult
 {
   int crashes_ = 0;
-  /// Runs of the culprit later than `kContact` after its third crash.
+  /// Runs of the culprit later than `kNotificationTime` after its third crash.
   int late_ = 0;
   int innocentsRefused_ = 0;
   int answered_ = 0;
 };
 
-class Day
+class SimulatedFleet
 {
 public:
-  Day(std::uint64_t aSeed, std::size_t aPlaces)
+  SimulatedFleet(std::uint64_t aSeed, std::size_t aServers)
     : random_(aSeed)
-    , servers_(aPlaces)
+    , servers_(aServers)
   {
     clock_.Advance(1h);
     for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -42,14 +42,14 @@
     }
   }
 
-  DayResult Run()
+  FleetResult Run()
   {
     for (int round = 0; round < 3000; ++round) {
       clock_.Advance(kRound);
-      RunDue();
+      RunDueEvents();
       Arrive(round);
       Serve();
-      Trouble(round);
+      InjectFaults(round);
     }
     return result_;
   }
@@ -70,23 +70,23 @@
     std::vector<Call> calls_;
   };
 
-  void Later(Duration aWait, std::function<void()> aAct)
+  void Schedule(Duration aWait, std::function<void()> aAction)
   {
-    due_.emplace(clock_.Now() + aWait, std::move(aAct));
+    events_.emplace(clock_.Now() + aWait, std::move(aAction));
   }
 
-  void RunDue()
+  void RunDueEvents()
   {
-    while (!due_.empty() && due_.begin()->first <= clock_.Now()) {
-      const auto act = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
-      act();
+    while (!events_.empty() && events_.begin()->first <= clock_.Now()) {
+      const auto action = std::move(events_.begin()->second);
+      events_.erase(events_.begin());
+      action();
     }
   }
 
-  void Boot(std::size_t aPlace)
+  void Boot(std::size_t aIndex)
   {
-    Server& server = servers_.at(aPlace);
+    Server& server = servers_.at(aIndex);
     server = { UpstreamId{ "u" + std::to_string(++lastId_) }, true, false, {} };
     Announce(server);
   }
@@ -97,20 +97,20 @@
     entry.id_ = aServer.id_;
     entry.draining_ = aServer.leaving_;
     for (std::size_t g = 0; g < kGateways; ++g) {
-      Tell(g, gateways_.at(g).OnEntry(entry, clock_.Now()));
+      Notify(g, gateways_.at(g).OnEntry(entry, clock_.Now()));
     }
   }
 
-  void Tell(std::size_t aFrom, const CrashWatch::Updates& aUpdates)
+  void Notify(std::size_t aFrom, const CrashWatch::Updates& aUpdates)
   {
     for (const SuspicionUpdate& update : aUpdates) {
       for (std::size_t g = 0; g < kGateways; ++g) {
         if (g != aFrom) {
-          Later(20ms + std::chrono::milliseconds(random_.Below(60)),
-                [this, g, update] {
-                  static_cast<void>(
-                    gateways_.at(g).OnUpdate(update, clock_.Now()));
-                });
+          Schedule(20ms + std::chrono::milliseconds(random_.Below(60)),
+                   [this, g, update] {
+                     static_cast<void>(
+                       gateways_.at(g).OnUpdate(update, clock_.Now()));
+                   });
         }
       }
     }
@@ -120,10 +120,10 @@
   void EndRegistration(const UpstreamId& aId, Duration aWait)
   {
     for (std::size_t g = 0; g < kGateways; ++g) {
-      Later(aWait + std::chrono::milliseconds(random_.Below(200)),
-            [this, g, aId] {
-              Tell(g, gateways_.at(g).OnVanished(aId, clock_.Now()));
-            });
+      Schedule(aWait + std::chrono::milliseconds(random_.Below(200)),
+               [this, g, aId] {
+                 Notify(g, gateways_.at(g).OnVanished(aId, clock_.Now()));
+               });
     }
   }
 
@@ -134,7 +134,7 @@
       Send(aCall.request_, aCall.gateway_, aCall.triesLeft_ - 1);
     } else if (aCall.request_ != kCulprit) {
       // Its caller comes again.
-      Later(100ms, [this, request = aCall.request_] {
+      Schedule(100ms, [this, request = aCall.request_] {
         Send(request, random_.Below(kGateways), 2);
       });
     }
@@ -148,31 +148,31 @@
     }
   }
 
-  void Die(std::size_t aPlace)
+  void Crash(std::size_t aIndex)
   {
-    Server& server = servers_.at(aPlace);
+    Server& server = servers_.at(aIndex);
     server.alive_ = false;
     EndRegistration(server.id_,
                     2400ms + std::chrono::milliseconds(random_.Below(1200)));
     BreakAll(server);
-    Later(5s, [this, aPlace] { Boot(aPlace); });
+    Schedule(5s, [this, aIndex] { Boot(aIndex); });
   }
 
-  void Leave(std::size_t aPlace)
+  void Leave(std::size_t aIndex)
   {
-    Server& server = servers_.at(aPlace);
+    Server& server = servers_.at(aIndex);
     if (!server.alive_ || server.leaving_) {
       return;
     }
     server.leaving_ = true;
     Announce(server);
-    Later(2s, [this, aPlace] {
-      Server& gone = servers_.at(aPlace);
+    Schedule(2s, [this, aIndex] {
+      Server& gone = servers_.at(aIndex);
       if (gone.alive_ && gone.leaving_) {
         gone.alive_ = false;
         EndRegistration(gone.id_, 50ms);
         BreakAll(gone);
-        Later(1s, [this, aPlace] { Boot(aPlace); });
+        Schedule(1s, [this, aIndex] { Boot(aIndex); });
       }
     });
   }
@@ -184,7 +184,7 @@
       result_.innocentsRefused_ += aRequest != kCulprit ? 1 : 0;
       return;
     }
-    const auto avoid = watch.Avoid(aRequest);
+    const auto avoid = watch.UpstreamsToAvoid(aRequest);
     Server* best = nullptr;
     for (const bool apart : { true, false }) {
       for (Server& server : servers_) {
@@ -202,8 +202,8 @@
     }
     if (best == nullptr) {
       if (aRequest != kCulprit) {
-        Later(100ms,
-              [this, aRequest, aGateway] { Send(aRequest, aGateway, 2); });
+        Schedule(100ms,
+                 [this, aRequest, aGateway] { Send(aRequest, aGateway, 2); });
       }
       return;
     }
@@ -226,8 +226,8 @@
 
   void Serve()
   {
-    for (std::size_t place = 0; place < servers_.size(); ++place) {
-      Server& server = servers_.at(place);
+    for (std::size_t index = 0; index < servers_.size(); ++index) {
+      Server& server = servers_.at(index);
       const auto due = [&](const Call& aCall) {
         return aCall.due_ <= clock_.Now();
       };
@@ -237,11 +237,12 @@
         });
       if (dies) {
         result_.late_ +=
-          result_.crashes_ >= 3 && clock_.Now() - third_ > Duration{ kContact }
+          result_.crashes_ >= 3 &&
+              clock_.Now() - thirdCrashAt_ > Duration{ kNotificationTime }
             ? 1
             : 0;
-        third_ = ++result_.crashes_ == 3 ? clock_.Now() : third_;
-        Die(place);
+        thirdCrashAt_ = ++result_.crashes_ == 3 ? clock_.Now() : thirdCrashAt_;
+        Crash(index);
         continue;
       }
       std::vector<Call> done;
@@ -252,13 +253,14 @@
       std::erase_if(server.calls_, due);
       for (const Call& call : done) {
         ++result_.answered_;
-        Tell(call.gateway_,
-             gateways_.at(call.gateway_).OnWhole(server.id_, call.request_));
+        Notify(
+          call.gateway_,
+          gateways_.at(call.gateway_).OnCompleted(server.id_, call.request_));
       }
     }
   }
 
-  void Trouble(int aRound)
+  void InjectFaults(int aRound)
   {
     Server& server = servers_.at(random_.Below(servers_.size()));
     if (aRound % 50 == 10) {
@@ -284,7 +286,7 @@
       }
     }
     if (aRound % 300 == 150 && server.alive_) {
-      Die(static_cast<std::size_t>(&server - servers_.data()));
+      Crash(static_cast<std::size_t>(&server - servers_.data()));
     }
     if (aRound % 400 == 250) {
       Leave(random_.Below(servers_.size()));
@@ -295,24 +297,24 @@
   ManualClock clock_;
   std::array<CrashWatch, kGateways> gateways_;
   std::vector<Server> servers_;
-  std::multimap<TimePoint, std::function<void()>> due_;
+  std::multimap<TimePoint, std::function<void()>> events_;
   std::uint64_t lastRequest_ = 1;
   int lastId_ = 0;
-  TimePoint third_;
-  DayResult result_;
+  TimePoint thirdCrashAt_;
+  FleetResult result_;
 };
 
 } // namespace
 
 TEST_CASE("days of several gateways: the culprit is stopped, nobody else is")
 {
-  for (const std::size_t places : { 9U, 24U }) {
+  for (const std::size_t upstreams : { 9U, 24U }) {
     int crashes = 0;
     int late = 0;
     int answered = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-      const DayResult result = Day(seed, places).Run();
-      INFO("seed " << seed << ", " << places << " upstreams, "
+      const FleetResult result = SimulatedFleet(seed, upstreams).Run();
+      INFO("seed " << seed << ", " << upstreams << " upstreams, "
                    << result.crashes_ << " crashes");
       CHECK(result.innocentsRefused_ == 0);
       CHECK(result.late_ <= 3);
@@ -321,7 +323,7 @@
       late += result.late_;
       answered += result.answered_;
     }
-    WARN("40 days of " << places << " upstreams: " << crashes
+    WARN("40 days of " << upstreams << " upstreams: " << crashes
                        << " crashes by the culprit, " << late << " late ones; "
                        << answered << " answers");
   }
--- a/tests/test_crash_watch.cpp
+++ b/tests/test_crash_watch.cpp
@@ -12,9 +12,9 @@
 const Fingerprint kCulprit{ 1 };
 const Fingerprint kInnocent{ 2 };
 /// From a crash to the end of the registration.
-constexpr auto kSilence = 3s;
+constexpr auto kRegistrationLag = 3s;
 /// Longer than reports take to settle.
-constexpr auto kSettled = 500ms;
+constexpr auto kSettlingTime = 500ms;
 
 UpstreamId
 Upstream(int aIndex)
@@ -58,7 +58,7 @@
 
   void Answer(int aUpstream, Fingerprint aRequest)
   {
-    static_cast<void>(watch_.OnWhole(Upstream(aUpstream), aRequest));
+    static_cast<void>(watch_.OnCompleted(Upstream(aUpstream), aRequest));
   }
 
   CrashWatch::Updates Vanish(int aUpstream)
@@ -76,7 +76,7 @@
     for (const Fingerprint request : aRequests) {
       Break(aUpstream, request);
     }
-    clock_.Advance(kSilence);
+    clock_.Advance(kRegistrationLag);
     return Vanish(aUpstream);
   }
 
@@ -87,7 +87,7 @@
 
   bool RefusedSoon(Fingerprint aRequest)
   {
-    clock_.Advance(kSettled);
+    clock_.Advance(kSettlingTime);
     return Refused(aRequest);
   }
 };
@@ -115,7 +115,7 @@
     fix.clock_.Advance(10ms);
     fix.Break(i, kCulprit);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(0));
   static_cast<void>(fix.Vanish(1));
   REQUIRE(fix.RefusedSoon(kCulprit));
@@ -175,7 +175,7 @@
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
   fix.Send(1, kInnocent);
-  const auto updates = fix.watch_.OnWhole(Upstream(1), kInnocent);
+  const auto updates = fix.watch_.OnCompleted(Upstream(1), kInnocent);
   REQUIRE(updates.size() == 1);
   REQUIRE(updates.front().cleared_);
   static_cast<void>(fix.Crash(2, { kInnocent }));
@@ -185,7 +185,7 @@
   fix.Break(3, kInnocent);
   fix.Send(4, kInnocent);
   fix.Answer(4, kInnocent);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.Vanish(3).empty());
 }
 
@@ -210,7 +210,7 @@
   fix.clock_.Advance(10ms);
   fix.Break(0, kCulprit);
   fix.Answer(0, Fingerprint{ 7 });
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.Vanish(0).size() == 1);
 }
 
@@ -252,7 +252,7 @@
   Fixture fix;
   fix.Send(0, kCulprit);
   fix.Break(0, kCulprit);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.watch_.OnList({}, fix.clock_.Now()).size() == 1);
 }
 
@@ -286,11 +286,11 @@
   // They run apart, and the third crash tells.
   fix.Send(2, kCulprit);
   const std::vector<UpstreamId> other{ Upstream(2) };
-  REQUIRE(fix.watch_.Avoid(kInnocent) == other);
-  REQUIRE(fix.watch_.Avoid(kCulprit).empty());
-  REQUIRE(fix.watch_.Avoid(Fingerprint{ 9 }).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent) == other);
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kCulprit).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(Fingerprint{ 9 }).empty());
   fix.Break(2, kCulprit);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(2));
   REQUIRE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
@@ -317,7 +317,7 @@
   }
   fix.clock_.Advance(7s);
   fix.Send(1, kCulprit);
-  REQUIRE(fix.watch_.Avoid(kInnocent).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent).empty());
 }
 
 TEST_CASE("crash watch: requests broken together run apart before it is known")
@@ -329,7 +329,7 @@
   fix.Break(0, kInnocent);
   fix.Send(1, kCulprit);
   const std::vector<UpstreamId> other{ Upstream(1) };
-  REQUIRE(fix.watch_.Avoid(kInnocent) == other);
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent) == other);
 }
 
 TEST_CASE("crash watch: reports of other instances count, each crash once")
@@ -345,7 +345,7 @@
   const auto first = here.Crash(0, { kCulprit });
   tell(first);
   tell(first);
-  there.clock_.Advance(kSettled);
+  there.clock_.Advance(kSettlingTime);
   REQUIRE_FALSE(there.Refused(kCulprit));
   tell(here.Crash(1, { kCulprit }));
   REQUIRE(there.RefusedSoon(kCulprit));
@@ -369,7 +369,7 @@
     fix.Break(0, kInnocent);
     fix.clock_.Advance(10ms);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(0));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
 }
@@ -381,7 +381,7 @@
     fix.Send(i, kCulprit);
     fix.Break(i, kCulprit);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   for (int i = 0; i < 6; ++i) {
     static_cast<void>(fix.Vanish(i));
     fix.clock_.Advance(100ms);
@@ -400,7 +400,7 @@
   fix.Send(4, kInnocent);
   fix.Break(4, kCulprit);
   fix.Break(4, kInnocent);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(4));
   REQUIRE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.Refused(kInnocent));
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -23,10 +23,10 @@
 
 constexpr KeyBounds kBounds{ 3s, 9s };
 
-KeyJudgement
+KeyCheck
 Judge(std::string_view aAuthorization, bool aPublic, Duration aAge)
 {
-  return JudgeKey(
+  return CheckKey(
     CustomerTable(TwoCustomers()), aAuthorization, aPublic, aAge, kBounds);
 }
 
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -23,7 +23,7 @@
   std::uint64_t crashes_ = 0;
   std::uint64_t innocentsRefused_ = 0;
   std::uint64_t innocentRetries_ = 0;
-  std::uint64_t mostRetries_ = 0;
+  std::uint64_t maxRetries_ = 0;
 };
 
 /// Instances share suspicions; upstreams run up to 8 requests at a time
@@ -41,7 +41,7 @@
           others.insert(Upstream(j));
         }
       }
-      instances_.at(i).SetOthers(std::move(others));
+      instances_.at(i).SetOthersUpstreams(std::move(others));
     }
   }
 
@@ -134,7 +134,7 @@
     if (aRequest.fingerprint_ != kCrasher) {
       ++result_.innocentRetries_;
       ++aRequest.retries_;
-      result_.mostRetries_ = std::max(result_.mostRetries_, aRequest.retries_);
+      result_.maxRetries_ = std::max(result_.maxRetries_, aRequest.retries_);
       waiting_.push_front(aRequest);
     }
   }
@@ -143,7 +143,7 @@
   {
     Share(aRequest,
           instances_.at(aRequest.instance_)
-            .OnWhole(Upstream(aUpstream), aRequest.fingerprint_));
+            .OnCompleted(Upstream(aUpstream), aRequest.fingerprint_));
   }
 
   void Share(const Request& aRequest,
@@ -180,7 +180,7 @@
     const FleetResult result = Fleet(seed).Run();
     CHECK(result.crashes_ == 2);
     CHECK(result.innocentsRefused_ == 0);
-    CHECK(result.mostRetries_ <= 2);
+    CHECK(result.maxRetries_ <= 2);
     retries += result.innocentRetries_;
   }
   WARN("20 fleets: 2 crashes each, " << retries << " innocents retried, "
@@ -199,21 +199,21 @@
   for (const Fingerprint fingerprint : { kCrasher, other }) {
     static_cast<void>(guard.OnBroken(Upstream(1), fingerprint, clock.Now()));
     static_cast<void>(guard.OnBroken(Upstream(1), fingerprint, clock.Now()));
-    CHECK(guard.Judge(fingerprint, clock.Now()).apart_);
+    CHECK(guard.Judge(fingerprint, clock.Now()).isolated_);
   }
   guard.OnSent(Upstream(2), kCrasher, clock.Now());
   CHECK_FALSE(guard.MayStart(other, Upstream(2), clock.Now()));
-  CHECK(guard.Avoid(other) == std::vector{ Upstream(2) });
+  CHECK(guard.UpstreamsToAvoid(other) == std::vector{ Upstream(2) });
   CHECK(guard.MayStart(other, Upstream(3), clock.Now()));
   // The same request runs once at a time while it is suspected.
   CHECK_FALSE(guard.MayStart(kCrasher, Upstream(3), clock.Now()));
   // Another instance's upstream is left to it at first.
-  guard.SetOthers({ Upstream(3) });
+  guard.SetOthersUpstreams({ Upstream(3) });
   CHECK_FALSE(guard.MayStart(other, Upstream(3), clock.Now()));
   clock.Advance(std::chrono::seconds(1));
   CHECK(guard.MayStart(other, Upstream(3), clock.Now()));
-  CHECK(guard.OnWhole(Upstream(2), kCrasher).front().cleared_);
-  CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).apart_);
+  CHECK(guard.OnCompleted(Upstream(2), kCrasher).front().cleared_);
+  CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).isolated_);
 }
 
 TEST_CASE("a quarantine says why, expires, and comes back longer")
@@ -237,7 +237,7 @@
   CHECK(elsewhere.Judge(kCrasher, clock.Now()).refused_);
   clock.Advance(std::chrono::minutes(11));
   CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).refused_);
-  CHECK(guard.Judge(kCrasher, clock.Now()).apart_);
+  CHECK(guard.Judge(kCrasher, clock.Now()).isolated_);
   static_cast<void>(crash(3));
   verdict = guard.Judge(kCrasher, clock.Now());
   CHECK(verdict.refused_);
