--- a/include/marjoramtally/process/admission.hpp
+++ b/include/marjoramtally/process/admission.hpp
@@ -1,6 +1,6 @@
-/// The queues of requests that wait for an upstream: for each service, live
-/// callers by deadline, trainers by weighted fair share, background callers
-/// last with a small share.
+/// Queues of the requests that wait for an upstream. Each service serves live
+/// callers first, by deadline, then trainers by weighted fair share, and
+/// background callers last, with a small guaranteed share.
 #pragma once
 
 #include "marjoramtally/process/deadline_queue.hpp"
@@ -17,16 +17,16 @@
   RequestSpec spec_;
 };
 
-/// How the queues decide.
+/// Settings of the queues.
 struct AdmissionSettings
 {
   AllClassLimits classes_ = kDefaultClassLimits;
   FairQueueSettings fair_;
-  /// Refuse what is not expected to meet its deadline.
+  /// Refuse requests that are not expected to meet their deadline.
   bool earlyRefusal_ = true;
 };
 
-/// Whether a request was taken into the queue.
+/// Whether a request was queued.
 struct AdmissionVerdict
 {
   enum class Kind : std::uint8_t
@@ -38,12 +38,12 @@
   Kind kind_ = Kind::Queued;
   /// Expected time in the queue.
   Duration wait_{ 0 };
-  /// Set if refused: when a resend can succeed.
+  /// Set if refused: time after which a resend can succeed.
   Duration retryAfter_{ 0 };
 };
 
-/// Queues of one entry process. Operations cost O(log n) in the requests
-/// waiting. Not thread-safe.
+/// Queues of one entry process. Operations cost O(log n) in the number of
+/// waiting requests. Not thread-safe.
 class Admission
 {
 public:
@@ -59,36 +59,38 @@
   void SetWeight(const ServiceId& aService,
                  const TrainerId& aTrainer,
                  std::uint64_t aWeight);
-  /// Sets the requests that a service's upstreams take at once; 0 is unknown.
+  /// Sets how many requests a service's upstreams run at once; 0 means
+  /// unknown.
   void SetCapacity(const ServiceId& aService, std::uint64_t aSlots);
 
-  /// Takes a new request, or says why not.
+  /// Queues a new request or refuses it.
   [[nodiscard]] AdmissionVerdict Enqueue(QueuedRequest aRequest,
                                          TimePoint aNow);
-  /// Puts a request that is to be sent again before all of its class.
+  /// Queues a retried request ahead of all others of its class.
   void EnqueueFront(QueuedRequest aRequest, TimePoint aNow);
-  /// @returns the request of a service to dispatch next, which stays queued
+  /// @returns the request of a service to dispatch next, which stays queued;
+  /// nullptr if none may be dispatched now
   [[nodiscard]] const QueuedRequest* Next(const ServiceId& aService,
                                           TimePoint aNow);
-  /// Takes a waiting request out for dispatch.
+  /// Marks a waiting request as dispatched and removes it from its queue.
   void Dispatch(TicketId aTicket, TimePoint aNow);
-  /// Passes over requests like this one until `Resume`: no upstream takes
+  /// Skips requests like this one until `Resume`, because no upstream accepts
   /// them now.
   void Stall(TicketId aTicket);
   void Resume(const ServiceId& aService);
   /// Ends a dispatched request.
-  /// @param aTokens tokens generated, if the answer was whole
+  /// @param aTokens tokens generated, if the answer was complete
   void Complete(TicketId aTicket,
                 std::optional<std::uint64_t> aTokens,
                 TimePoint aNow);
-  /// Withdraws a waiting request.
+  /// Removes a waiting request.
   void Remove(TicketId aTicket);
-  /// Removes and returns requests that can no longer meet their deadline,
-  /// also if it has not passed yet.
+  /// Removes and returns requests that can no longer meet their deadline, even
+  /// if the deadline has not passed yet.
   [[nodiscard]] std::vector<QueuedRequest> Expire(TimePoint aNow);
   /// @returns services with waiting requests
   [[nodiscard]] std::vector<ServiceId> Waiting() const;
-  /// @returns time in which the queue ahead of such a request drains
+  /// @returns time until the queue ahead of such a request has drained
   [[nodiscard]] Duration ExpectedWait(const RequestSpec& aRequest) const;
   /// @returns tokens that such a request is expected to generate
   [[nodiscard]] double ExpectedTokens(const RequestSpec& aRequest) const
@@ -96,7 +98,7 @@
     return estimate_.Tokens(aRequest);
   }
   [[nodiscard]] std::size_t size() const noexcept;
-  /// @returns requests of a class that wait
+  /// @returns the number of waiting requests of a class
   [[nodiscard]] std::size_t size(RequestClass aClass) const noexcept
   {
     return waiting_.at(static_cast<std::size_t>(aClass));
@@ -115,16 +117,17 @@
     DeadlineQueue background_;
     EarlyRefusal refusal_;
     std::array<double, kRequestClasses> queuedCost_{};
+    /// Requests that the upstreams run at once; 0 if unknown.
     std::uint64_t slots_ = 0;
     std::uint64_t nonLiveInFlight_ = 0;
-    /// Dispatches since the last one of background callers.
+    /// Dispatches since the last dispatch of a background request.
     std::uint64_t dispatchesSinceBackground_ = 0;
   };
   struct Entry
   {
     QueuedRequest request_;
     double cost_ = 1;
-    /// When it must be dispatched to meet its deadline.
+    /// Latest dispatch time that can meet the deadline.
     TimePoint latestStart_ = kNever;
     Duration expectedWait_{ 0 };
     TimePoint queuedAt_;
@@ -134,14 +137,16 @@
 
   [[nodiscard]] ServiceQueue& QueueOf(const ServiceId& aService);
   [[nodiscard]] const ClassLimits& Limits(RequestClass aClass) const noexcept;
-  /// @returns cost that goes before such a request, over its share
+  /// @returns cost that is dispatched before such a request, divided by the
+  /// share of the drain rate that serves its queue
   [[nodiscard]] double CostAhead(const ServiceQueue& aQueue,
                                  const RequestSpec& aRequest) const;
   void Insert(QueuedRequest aRequest,
               Duration aExpectedWait,
               bool aFront,
               TimePoint aNow);
-  /// Takes an entry out of its class's queue.
+  /// Removes an entry from the queue of its class and from the totals. A
+  /// trainer's request stays in its fair queue.
   void RemoveFromQueue(const Entry& aEntry);
   [[nodiscard]] std::optional<TicketId> NextNonLive(ServiceQueue& aQueue,
                                                     TimePoint aNow);
--- a/include/marjoramtally/process/allocation.hpp
+++ b/include/marjoramtally/process/allocation.hpp
@@ -1,6 +1,6 @@
-/// Shares the engines of one service out among its live callers and trainers
-/// by rules of floor, share and ceiling. Moves have hysteresis; live demand
-/// takes engines back at once.
+/// Allocates the engines of one service to its live callers and trainers by
+/// floor, share and ceiling. Moves have hysteresis, except that live demand
+/// reclaims engines at once.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,44 +11,46 @@
 
 namespace marjoramtally {
 
-/// Who engines are for: the live callers of a service or a trainer.
+/// Identifies a user of engines: a trainer, or all live callers of a service.
 using EngineUserId = Strong<std::string, struct EngineUserTag>;
 
-/// What the rules give one user, in engines.
+/// Limits of one user, in engines.
 struct EngineUserRule
 {
   EngineUserId id_;
-  /// Never taken from it, whatever its demand.
+  /// Engines that the user keeps whatever its demand.
   std::uint64_t floor_ = 0;
   std::uint64_t ceiling_ = UINT64_MAX;
-  /// Weight among users that want more than their floor.
+  /// Weight among users whose demand exceeds their floor.
   std::uint64_t share_ = 1;
-  /// Its demand is met before that of others and takes engines back at once.
+  /// Demand of a live user is met first and reclaims engines at once.
   bool live_ = false;
 };
 
-/// How readily engines move.
+/// Hysteresis of moves between users.
 struct AllocationPolicy
 {
-  /// Time constant of the average of demand that slow moves follow.
+  /// Time constant of the average demand that decides non-urgent moves.
   Duration smoothing_ = std::chrono::seconds(5);
-  /// How long a difference has to last before engines move for it.
+  /// How long allocation and target must differ before an engine moves.
   Duration hold_ = std::chrono::seconds(5);
-  /// How long an engine stays where it is, unless live demand takes it.
+  /// Minimum time an engine stays with a user, unless live demand reclaims
+  /// it.
   Duration dwell_ = std::chrono::minutes(2);
-  /// Live demand over this part of its engines takes engines back at once;
-  /// under `lowWater_` of them it lets one go after the hold.
+  /// Live demand above this fraction of the live engines reclaims engines at
+  /// once. Average demand below `lowWater_` of all but one of them releases
+  /// engines after `hold_`.
   double highWater_ = 0.85;
   double lowWater_ = 0.6;
 };
 
-/// Gives an engine to another user.
+/// Reassigns an engine to another user.
 struct EngineMove
 {
   UpstreamId engine_;
   EngineUserId from_;
   EngineUserId to_;
-  /// Taken back for live demand.
+  /// Reclaimed for live demand.
   bool urgent_ = false;
 };
 
@@ -59,17 +61,19 @@
   explicit Allocation(AllocationPolicy aPolicy) noexcept;
 
   void SetUsers(const std::vector<EngineUserRule>& aUsers);
-  /// Engines that are gone are forgotten, new ones belong to nobody yet.
+  /// Replaces the list of engines: missing ones are dropped, new ones are
+  /// unassigned.
   void SetEngines(const std::vector<UpstreamId>& aEngines);
-  /// Takes over an allocation made before, for instance by the last owner.
+  /// Assigns an unassigned engine as an earlier allocation did, for instance
+  /// that of the previous owner.
   void Adopt(const UpstreamId& aEngine, const EngineUserId& aUser);
-  /// @param aEngines how many engines its work would keep busy now
+  /// @param aEngines number of engines that the user's work would keep busy
   void OnDemand(const EngineUserId& aUser, double aEngines, TimePoint aNow);
-  /// Moves to make now; they count as made.
+  /// @returns moves to make now; they are already applied to this allocation
   [[nodiscard]] std::vector<EngineMove> Decide(TimePoint aNow);
   [[nodiscard]] std::uint64_t Held(const EngineUserId& aUser) const;
   [[nodiscard]] std::map<UpstreamId, EngineUserId> Assigned() const;
-  /// @returns whose an engine is; empty for nobody's
+  /// @returns the user of an engine; empty if unassigned or unknown
   [[nodiscard]] EngineUserId UserOf(const UpstreamId& aEngine) const;
 
 private:
@@ -106,10 +110,11 @@
   void Rebalance(const Targets& aTargets,
                  TimePoint aNow,
                  std::vector<EngineMove>& aOut);
-  /// @returns the user that holds most over its target, none if nobody does
+  /// @returns the user that exceeds its target by most; nullptr if none does
   [[nodiscard]] const User* LargestSurplus(const Targets& aTargets) const;
+  /// @returns the user that is below its target by most; nullptr if none is
   [[nodiscard]] User* LargestDeficit(const Targets& aTargets);
-  /// @returns the engine of a user that has stayed longest
+  /// @returns the engine that a user has held longest
   [[nodiscard]] std::pair<const UpstreamId, Engine>* LongestHeld(
     const EngineUserId& aUser);
   void Move(std::pair<const UpstreamId, Engine>& aEngine,
@@ -121,7 +126,7 @@
   AllocationPolicy policy_;
   std::map<EngineUserId, User> users_;
   std::map<UpstreamId, Engine> engines_;
-  /// Since when the targets have differed from what is held.
+  /// Start of the present difference between targets and held engines.
   TimePoint imbalancedSince_ = kNever;
 };
 
--- a/include/marjoramtally/process/claim_record.hpp
+++ b/include/marjoramtally/process/claim_record.hpp
@@ -1,4 +1,4 @@
-/// What the store keeps of a claimed idempotency key.
+/// The stored record of a claimed idempotency key.
 #pragma once
 
 #include "marjoramtally/request/fingerprint.hpp"
@@ -9,23 +9,24 @@
 
 namespace marjoramtally {
 
-/// How far a claimed request has come.
+/// Progress of a claimed request.
 enum class ClaimState : std::uint8_t
 {
-  /// Its claimant may be running it, or died.
+  /// The claimant may be running the request, or has died.
   Claimed,
   Completed,
-  /// It ended without proof of its outcome.
+  /// The request ended without proof of its outcome.
   Unknown,
 };
 
-/// One record; the token is unique to one claim.
+/// The record of one claim.
 struct ClaimRecord
 {
+  /// Unique to one claim.
   std::string token_;
   Fingerprint fingerprint_;
   ClaimState state_ = ClaimState::Claimed;
-  /// Status that the caller was given; 0 while there is none.
+  /// Status with which the caller was answered; 0 before that.
   int status_ = 0;
   bool operator==(const ClaimRecord&) const = default;
 };
@@ -34,12 +35,12 @@
 [[nodiscard]] std::string
 EncodeClaim(const ClaimRecord& aRecord);
 
-/// @returns nothing if the value is no record
+/// @returns nothing if the value is not a valid record
 [[nodiscard]] std::optional<ClaimRecord>
 DecodeClaim(std::string_view aText);
 
-/// @returns the record's name for a key of a service: a hash, so that its
-/// length is bounded and it needs no escaping
+/// @returns the name of the record for a key of a service: a hash, so that the
+/// length is bounded and no escaping is needed
 [[nodiscard]] std::string
 ClaimName(const ServiceId& aService, const IdempotencyKey& aKey);
 
--- a/include/marjoramtally/process/claims.hpp
+++ b/include/marjoramtally/process/claims.hpp
@@ -1,9 +1,10 @@
-/// Claims of idempotency keys: a non-idempotent request runs only after its
-/// claim, a record created if absent, is proven to be in the store. Many
-/// claims go in one transaction.
+/// Claims of idempotency keys. A non-idempotent request runs only after its
+/// claim, a record that is created if absent, is proven to be in the store.
+/// Claims are batched into transactions.
 ///
-/// A claim whose answer is lost is read back by its unique token before
-/// anything runs. Whatever cannot be proven is refused and never run.
+/// If the outcome of a commit is unknown, the record is read back and compared
+/// by its unique token before the request runs. A request whose claim cannot be
+/// proven is refused and never run.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -16,51 +17,51 @@
 
 namespace marjoramtally {
 
-/// Names one asking request within this process.
+/// Identifies a request for a claim within this process.
 using ClaimTicket = Strong<std::uint64_t, struct ClaimTicketTag>;
-/// Names one transaction of claims.
+/// Identifies a transaction of claims.
 using ClaimBatchId = Strong<std::uint64_t, struct ClaimBatchTag>;
 
-/// A request that wants to run.
+/// A request for a claim.
 struct ClaimRequest
 {
   ClaimTicket ticket_;
-  /// The record's name, by `ClaimName`.
+  /// Name of the record, from `ClaimName`.
   std::string name_;
   Fingerprint fingerprint_;
   TimePoint deadline_;
 };
 
-/// What a request is told.
+/// Answer to a request for a claim.
 enum class ClaimAnswer : std::uint8_t
 {
-  /// The claim is won: run it.
+  /// The claim is held; the request may run.
   Run,
-  /// It was not run; it may be sent again.
+  /// The request was not run and may be sent again.
   Refused,
-  /// It was not run: its key belongs to a different request.
+  /// The request was not run: its key belongs to a different request.
   KeyReused,
-  /// An earlier send of it is in progress here.
+  /// An earlier send of the request is in progress at this instance.
   InProgress,
-  /// An earlier send of it completed; it is not run again.
+  /// An earlier send of the request completed; it is not run again.
   AlreadyRan,
-  /// An earlier send of it may have run; it is not run again.
+  /// An earlier send of the request may have run; it is not run again.
   MayHaveRun,
 };
 
-/// The answer to one request.
+/// The answer to one request, with its details.
 struct ClaimVerdict
 {
   ClaimTicket ticket_;
   ClaimAnswer answer_ = ClaimAnswer::Refused;
-  /// Status that the earlier send was given; set if `AlreadyRan`.
+  /// Status with which the earlier send was answered; set if `AlreadyRan`.
   int status_ = 0;
-  /// For people.
+  /// Human-readable reason.
   std::string reason_;
 };
 
-/// One write, which holds if the record's revision is as expected (0: is
-/// absent). An empty value deletes the record.
+/// One conditional write: it applies if the record's revision equals
+/// `expected_` (0: the record is absent). An empty value deletes the record.
 struct ClaimWrite
 {
   std::string name_;
@@ -68,26 +69,26 @@
   std::uint64_t expected_ = 0;
 };
 
-/// Writes that take effect together or not at all.
+/// Writes of one transaction, applied atomically.
 struct ClaimBatch
 {
   ClaimBatchId id_;
   std::vector<ClaimWrite> writes_;
 };
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 enum class CommitResult : std::uint8_t
 {
   Applied,
-  /// A record's revision was not as expected; nothing took effect.
+  /// A record's revision was not as expected; nothing was applied.
   Conflict,
-  /// Proven to have taken no effect.
+  /// Proven not to have been applied.
   NoEffect,
-  /// May or may not have taken effect.
+  /// May have been applied, or may be applied later.
   Unknown,
 };
 
-/// What a read-back found.
+/// Result of reading a record back.
 struct ClaimReadResult
 {
   bool failed_ = false;
@@ -95,86 +96,93 @@
   std::uint64_t revision_ = 0;
 };
 
-/// What the driver is to do.
+/// What the caller of `ClaimTable` has to do next.
 struct ClaimActions
 {
   std::vector<ClaimVerdict> verdicts_;
   std::vector<ClaimBatch> batches_;
   /// Names of records to read back.
   std::vector<std::string> reads_;
-  /// Requests whose end is recorded, as far as it will be: now answer them.
+  /// Requests whose caller can now be answered: their end is recorded, or its
+  /// recording no longer delays the answer.
   std::vector<ClaimTicket> closed_;
 };
 
-/// Limits of a claim table.
+/// Limits and intervals of a claim table.
 struct ClaimOptions
 {
-  /// Most writes in a transaction (the store allows 128 operations).
+  /// Maximum writes per transaction; the store allows 128 operations.
   std::size_t maxBatch_ = 100;
-  /// Least time between transactions.
+  /// Minimum time between the starts of transactions.
   Duration minCommitInterval_{ 0 };
-  /// A transaction without answer for so long makes others be refused.
+  /// Claims are refused while a transaction has been unanswered for this long.
   Duration slowCommit_ = std::chrono::milliseconds(500);
-  /// After a failure, time in which claims are refused at once.
+  /// Claims are refused at once for this long after a failed transaction.
   Duration failurePause_ = std::chrono::milliseconds(500);
-  /// How often, and how long, an abandoned claim is looked for.
+  /// Interval at which an abandoned claim is looked up in the store, and
+  /// time after which it no longer is.
   Duration orphanReadInterval_ = std::chrono::seconds(5);
   Duration orphanLifetime_ = std::chrono::minutes(2);
-  /// Ended requests whose answer is kept here, the newest.
+  /// Maximum number of ended requests whose outcome is kept in memory; the
+  /// oldest are dropped.
   std::size_t maxEnded_ = 10'000;
+  /// Maximum number of claims that wait for a transaction.
   std::size_t maxWaiting_ = 10'000;
 };
 
-/// Claims of one instance. Not thread-safe.
+/// The claims of one instance. Performs no I/O: each function returns the
+/// actions to take. Not thread-safe.
 class ClaimTable
 {
 public:
-  /// @param aOwner unique to this process; tokens start with it
+  /// @param aOwner name unique to this process; prefix of its tokens
   ClaimTable(std::string aOwner, ClaimOptions aOptions = {})
     : owner_(std::move(aOwner))
     , options_(aOptions)
   {
   }
 
-  /// A request wants to run.
+  /// Claims the key of a request.
   [[nodiscard]] ClaimActions Claim(ClaimRequest aRequest, TimePoint aNow);
-  /// A transaction ended.
-  /// @param aRevision the store's revision if it was applied
+  /// Handles the end of a transaction.
+  /// @param aRevision revision of the store if the transaction was applied
   [[nodiscard]] ClaimActions OnCommit(ClaimBatchId aId,
-                                      CommitResult aEnd,
+                                      CommitResult aResult,
                                       std::uint64_t aRevision,
                                       TimePoint aNow);
-  /// A read-back ended.
+  /// Handles the result of a read-back.
   [[nodiscard]] ClaimActions OnRead(const std::string& aName,
-                                    const ClaimReadResult& aReading,
+                                    const ClaimReadResult& aResult,
                                     TimePoint aNow);
-  /// A request that was told to run ended. Its `closed_` action follows.
+  /// Records the end of a request that was allowed to run. Its `closed_` action
+  /// follows, at once or later.
   [[nodiscard]] ClaimActions OnRunEnd(const std::string& aName,
                                       Outcome aOutcome,
                                       int aStatus,
                                       TimePoint aNow);
-  /// Time passed.
+  /// Expires claims, looks up abandoned ones and commits what waits.
   [[nodiscard]] ClaimActions Tick(TimePoint aNow);
-  void SetMinCommitInterval(Duration aGap) noexcept
+  void SetMinCommitInterval(Duration aInterval) noexcept
   {
-    options_.minCommitInterval_ = aGap;
+    options_.minCommitInterval_ = aInterval;
   }
-  /// @returns requests asked and not yet closed or answered
+  /// @returns the number of claims whose request has not ended or whose write
+  /// is pending
   [[nodiscard]] std::size_t Open() const noexcept;
 
 private:
   enum class Phase : std::uint8_t
   {
-    /// Its claim waits for a transaction.
+    /// The claim waits for a transaction.
     Queued,
     Writing,
     Reading,
     Running,
-    /// Its end waits for a transaction or is being written.
+    /// The end of the request waits for a transaction or is being written.
     Closing,
-    /// Its end is known here.
+    /// The outcome is kept in memory.
     Ended,
-    /// Refused, but its claim may be or come into the store.
+    /// Refused, but the claim may be in the store or reach it later.
     Orphan,
   };
   struct Entry
@@ -183,12 +191,13 @@
     ClaimRequest request_;
     ClaimRecord record_;
     std::uint64_t revision_ = 0;
+    /// Rewrites of a claim, tries to write an end, or lookups of an orphan.
     std::uint32_t tries_ = 0;
-    /// Already answered; a won claim is released.
+    /// The caller has its answer; a claim that is won afterwards is released.
     bool answered_ = false;
-    /// Closing deletes the record, for nothing ran.
+    /// Closing deletes the record, because nothing ran.
     bool release_ = false;
-    TimePoint since_;
+    TimePoint claimedAt_;
   };
   using Entries = std::unordered_map<std::string, Entry>;
 
@@ -201,19 +210,21 @@
     const ClaimRecord& aRecord);
   [[nodiscard]] ClaimVerdict AnswerResend(const ClaimRequest& aRequest,
                                           const Entry& aEntry) const;
+  /// Starts the next transaction if none is in progress and one is due.
   void Flush(TimePoint aNow, ClaimActions& aOut);
-  /// Names queued twice, or settled since, need no write.
+  /// @returns whether a name needs a write; one that was resolved after it was
+  /// queued does not
   [[nodiscard]] bool NeedsWrite(const std::string& aName) const;
-  void Start(std::vector<std::string> aNames,
-             TimePoint aNow,
-             ClaimActions& aOut);
+  void StartCommit(std::vector<std::string> aNames,
+                   TimePoint aNow,
+                   ClaimActions& aOut);
   [[nodiscard]] ClaimWrite WriteOf(const Entry& aEntry) const;
   void OnClaimWon(Entry& aEntry,
                   std::uint64_t aRevision,
                   TimePoint aNow,
                   ClaimActions& aOut);
   void OnClaimNotWon(const std::string& aName,
-                     const ClaimReadResult& aReading,
+                     const ClaimReadResult& aResult,
                      TimePoint aNow,
                      ClaimActions& aOut);
   void OnClosed(const std::string& aName, Entry& aEntry, ClaimActions& aOut);
@@ -236,13 +247,13 @@
   ClaimOptions options_;
   Entries entries_;
   std::deque<std::string> queue_;
-  /// Parts of a transaction that met a conflict, to be tried on their own.
+  /// Halves of transactions that conflicted, to be committed separately.
   std::deque<std::vector<std::string>> splitBatches_;
   std::deque<std::string> ended_;
   std::vector<std::string> writing_;
   ClaimBatchId current_;
-  bool busy_ = false;
-  TimePoint started_;
+  bool committing_ = false;
+  TimePoint commitStartedAt_;
   TimePoint pausedUntil_;
   TimePoint nextCommit_;
   std::uint64_t lastToken_ = 0;
--- a/include/marjoramtally/process/crash_watch.hpp
+++ b/include/marjoramtally/process/crash_watch.hpp
@@ -1,10 +1,10 @@
-/// Tells crashes of upstreams from broken connections, and holds them against
-/// the requests that were there.
+/// Distinguishes crashes of upstreams from broken connections and attributes
+/// them to the requests in progress there.
 ///
-/// A connection breaks for many reasons. A crash is believed only where the
-/// upstream's registration ended as well, without notice, after the break and
-/// without a sign of life in between. An upstream that comes back as the same
-/// incarnation had not crashed; then nothing is held against anybody.
+/// A connection breaks for many reasons. A break counts as a crash only if the
+/// upstream's registration ends after it without notice and with no heartbeat
+/// in between. An upstream that registers again as the same incarnation did not
+/// crash, and the suspicions that resulted are withdrawn.
 #pragma once
 
 #include "marjoramtally/process/quarantine.hpp"
@@ -14,34 +14,36 @@
 
 namespace marjoramtally {
 
-/// What counts as a crash.
+/// Criteria of a crash.
 struct CrashWatchOptions
 {
-  /// A request that crashes its upstream does so as it begins; one that had
-  /// been sent longer ago than this did not do it.
+  /// Maximum time from sending a request to a break that it can have caused. A
+  /// request that crashes its upstream does so soon after it starts.
   Duration maxRunBeforeCrash_ = std::chrono::seconds(5);
-  /// A registration ends this long after its upstream at the latest: three
-  /// heartbeats of 1.2 s, and up to 1.7 s on the way through a relay.
+  /// Maximum time from a crash to the end of the registration: three heartbeats
+  /// of 1.2 s, plus up to 1.7 s of delay through a relay.
   Duration maxRegistrationLag_ = std::chrono::seconds(6);
-  /// Connections that a crash breaks are seen to break within this time.
+  /// Maximum time between the first and last broken connection of one crash.
   Duration breakSpread_ = std::chrono::seconds(1);
-  /// A registration that is renewed so long after a break was renewed by a
-  /// living upstream: the way through a relay takes 1.7 s at most.
+  /// Time after a break from which a renewal of the registration proves that
+  /// the upstream is alive. An earlier renewal can have been sent before the
+  /// break, because a relay delays it by up to 1.7 s.
   Duration minRenewalLag_ = std::chrono::seconds(2);
-  /// Registrations that lapsed with the store come back within two seconds of
-  /// the store's return; ends of registrations are remembered for this long.
+  /// Time for which ended registrations are kept. Registrations that expired
+  /// because the store was down return within two seconds of its recovery.
   Duration endedRetention_ = std::chrono::seconds(60);
-  /// Most breaks remembered; the oldest go first.
+  /// Maximum number of breaks kept; the oldest are dropped.
   std::size_t maxBreaks_ = 512;
-  /// Innocents that were twice with the culprit are not refused with it; a
-  /// third crash decides. Reports of one crash by all instances come within
-  /// the settling time, a call between zones taking some tens of ms.
+  /// A third crash is required where two requests shared two crashes, so that
+  /// an innocent request is not refused with the culprit. All instances report
+  /// a crash within the settling time; a call between zones takes some tens of
+  /// milliseconds.
   QuarantineOptions quarantine_{ .crashesInCommon_ = 3,
                                  .settlingTime_ =
                                    std::chrono::milliseconds(300) };
 };
 
-/// Crashes as one instance sees them. Not thread-safe.
+/// The crashes that one instance observes. Not thread-safe.
 class CrashWatch
 {
 public:
@@ -60,37 +62,40 @@
   {
     return quarantine_.Judge(aFingerprint, aNow);
   }
-  /// @returns upstreams where another request that may be a culprit is in
-  /// progress, if this one may be a culprit
+  /// @returns upstreams at which another suspect is in progress, if this
+  /// request is a suspect; else none
   [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
     Fingerprint aFingerprint) const;
   void OnSent(const UpstreamId& aUpstream,
               Fingerprint aFingerprint,
               TimePoint aNow);
-  /// A whole answer came: the request is cleared.
-  /// @returns what to tell other instances
+  /// Clears a request after a complete answer.
+  /// @returns updates for the other instances
   [[nodiscard]] Updates OnCompleted(const UpstreamId& aUpstream,
                                     Fingerprint aFingerprint);
-  /// The connection broke after bytes were sent.
+  /// Records that the connection broke after bytes were sent.
   void OnBroken(const UpstreamId& aUpstream,
                 Fingerprint aFingerprint,
                 TimePoint aNow);
-  /// The call ended otherwise.
+  /// Records any other end of a call.
   void OnEnded(const UpstreamId& aUpstream, Fingerprint aFingerprint);
 
   // Registrations of upstreams.
-  /// An upstream wrote its entry, and lived as it did.
-  /// @returns what to tell other instances
+  /// Records an entry that an upstream wrote, which proves that it was alive.
+  /// @returns updates for the other instances
   [[nodiscard]] Updates OnEntry(const UpstreamEntry& aEntry, TimePoint aNow);
-  /// @returns what to tell other instances
+  /// Records the end of a registration.
+  /// @returns updates for the other instances
   [[nodiscard]] Updates OnVanished(const UpstreamId& aUpstream, TimePoint aNow);
-  /// The whole list was read; what is not in it has vanished.
-  /// @returns what to tell other instances
+  /// Takes a complete list of entries; registrations missing from it have
+  /// ended.
+  /// @returns updates for the other instances
   [[nodiscard]] Updates OnList(const std::vector<UpstreamEntry>& aEntries,
                                TimePoint aNow);
 
   // Other instances.
-  /// @returns what is known here of the request of the update
+  /// Applies an update from another instance.
+  /// @returns this instance's suspicion against the request of the update
   [[nodiscard]] Updates OnUpdate(const SuspicionUpdate& aUpdate,
                                  TimePoint aNow);
   [[nodiscard]] Updates KnownSuspicion(Fingerprint aFingerprint,
@@ -102,7 +107,7 @@
   {
     return quarantine_.Refused(aNow);
   }
-  /// @returns breaks that wait for the end of a registration
+  /// @returns the number of breaks that wait for the end of a registration
   [[nodiscard]] std::size_t Breaks() const noexcept { return breaks_.size(); }
 
 private:
@@ -120,19 +125,20 @@
   {
     UpstreamId upstream_;
     Fingerprint fingerprint_;
-    /// When the call was sent.
     TimePoint sentAt_;
     TimePoint brokenAt_;
   };
   using Running = std::multimap<Fingerprint, TimePoint>;
 
+  /// @returns whether a request is suspected of a crash, or was in progress at
+  /// a recent break
   [[nodiscard]] bool IsSuspect(Fingerprint aFingerprint) const;
-  /// Ends the oldest call.
-  /// @returns when it was sent
+  /// Ends one call of a request at an upstream, the first one sent.
+  /// @returns when it was sent; nothing if unknown
   std::optional<TimePoint> EndCall(const UpstreamId& aUpstream,
                                    Fingerprint aFingerprint);
   [[nodiscard]] Updates Register(const UpstreamEntry& aEntry, TimePoint aNow);
-  /// The upstream's incarnation has crashed.
+  /// Attributes the crash of an upstream to the requests that broke there.
   [[nodiscard]] Updates AttributeCrash(const UpstreamId& aUpstream,
                                        TimePoint aNow);
   void DropOldBreaks(TimePoint aNow);
@@ -140,7 +146,7 @@
 
   CrashWatchOptions options_;
   Quarantine quarantine_;
-  /// In the order of their times.
+  /// In order of `brokenAt_`.
   std::deque<Break> breaks_;
   std::map<UpstreamId, Running> running_;
   std::map<UpstreamId, Registration> registered_;
--- a/include/marjoramtally/process/customer_table.hpp
+++ b/include/marjoramtally/process/customer_table.hpp
@@ -1,7 +1,7 @@
-/// Customers and the keys that their callers send.
+/// Customers and the API keys of their callers.
 ///
-/// A key is a secret: it is compared, never told. Findings and logs name
-/// customers only.
+/// Keys are secrets: they are only compared. Findings and logs contain customer
+/// names, never keys.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -16,29 +16,30 @@
 
 namespace marjoramtally {
 
-/// One customer of the configuration.
+/// A customer as configured.
 struct Customer
 {
   CustomerId name_;
-  /// Goes before a route's own; 0 is the highest.
+  /// Overrides the priority of the route; 0 is the highest.
   std::optional<std::uint32_t> priority_;
   std::vector<std::string> keys_;
 };
 
-/// @returns what is wrong with the customers of a configuration, each with the
-/// customer's name: an empty key, one key of two customers, a name twice
+/// Validates the customers of a configuration.
+/// @returns one finding, with the customer's name, for each missing or
+/// duplicate name, empty key, or key that two customers share
 [[nodiscard]] std::vector<std::string>
 CheckCustomers(const std::vector<Customer>& aCustomers);
 
-/// The customers in force, found by key in constant time.
+/// The active customers, with constant-time lookup by key.
 class CustomerTable
 {
 public:
   CustomerTable() = default;
-  /// @param aCustomers without findings
+  /// @param aCustomers customers for which `CheckCustomers` has no findings
   explicit CustomerTable(std::vector<Customer> aCustomers);
 
-  /// @returns the customer that holds a key, or nullptr
+  /// @returns the customer that owns a key, or nullptr
   [[nodiscard]] const Customer* Find(const std::string& aKey) const;
   [[nodiscard]] const std::vector<Customer>& All() const noexcept
   {
@@ -47,45 +48,48 @@
 
 private:
   std::vector<Customer> customers_;
-  /// Positions of customers by key.
+  /// Indexes into `customers_` by key.
   std::unordered_map<std::string, std::size_t> byKey_;
 };
 
-/// What a request's key allows.
+/// Whether a request's key grants access.
 enum class KeyVerdict
 {
-  /// The request may go on.
+  /// The request may proceed.
   Granted,
-  /// No customer holds the key.
+  /// No customer owns the key.
   Refused,
-  /// What is known here is too old to tell.
+  /// The local configuration is too old to decide.
   Uncertain,
 };
 
-/// A judgement on a request's key.
+/// Result of checking a request's key.
 struct KeyCheck
 {
   KeyVerdict verdict_ = KeyVerdict::Refused;
-  /// Of a granted request; empty: no key was needed and none is known.
+  /// The owner of the key; empty if the key is unknown or missing.
   CustomerId customer_;
 };
 
-/// How old the configuration may be for a judgement.
+/// Maximum age of the configuration for a decision.
 struct KeyBounds
 {
-  /// With older knowledge an unknown key may have been added meanwhile.
+  /// Age up to which an unknown key is refused. With an older configuration the
+  /// key may have been added in the meantime.
   Duration unknown_ = std::chrono::seconds(2);
-  /// With older knowledge a known key may have been revoked long ago.
+  /// Age up to which a known key is granted. With an older configuration the
+  /// key may have been revoked long ago.
   Duration known_ = std::chrono::seconds(7);
 };
 
-/// @returns the key of an `Authorization` field of the scheme `Bearer`; empty
-/// if it is none
+/// @returns the key in an `Authorization` field of the scheme `Bearer`; empty
+/// for any other value
 [[nodiscard]] std::string_view
 BearerKey(std::string_view aAuthorization) noexcept;
 
-/// @param aPublic the request needs no key
-/// @param aAge how old the knowledge of the customers is
+/// Checks the key in a request's `Authorization` field.
+/// @param aPublic whether the request needs no key
+/// @param aAge age of the configuration of customers
 [[nodiscard]] KeyCheck
 CheckKey(const CustomerTable& aCustomers,
          std::string_view aAuthorization,
--- a/include/marjoramtally/process/deadline_queue.hpp
+++ b/include/marjoramtally/process/deadline_queue.hpp
@@ -1,4 +1,4 @@
-/// Requests of one class and service by deadline.
+/// Queue of the requests of one class and service, by deadline.
 #pragma once
 
 #include "marjoramtally/process/fair_queue.hpp"
@@ -8,18 +8,19 @@
 
 namespace marjoramtally {
 
-/// Waiting requests, the earliest deadline first; operations cost O(log n).
-/// Requests that ask for one model at one version form a lane, which can be
-/// passed over while no upstream serves it. Not thread-safe.
+/// Waiting requests, earliest deadline first. `Push` and `Remove` cost
+/// O(log n); `Next` looks at each lane once. Requests for the same model and
+/// minimum version form a lane, which is skipped while no upstream serves it.
+/// Not thread-safe.
 class DeadlineQueue
 {
 public:
+  /// @param aFront ahead of all requests that were not pushed so
   void Push(const RequestSpec& aSpec, TicketId aTicket, bool aFront);
-  /// Takes a request out.
   void Remove(const RequestSpec& aSpec, TicketId aTicket);
-  /// @returns the first request of the lanes not passed over
+  /// @returns the first request of all lanes that are not stalled
   [[nodiscard]] std::optional<TicketId> Next() const;
-  /// Passes over a request's lane until `Resume`.
+  /// Skips a request's lane until `Resume`.
   void Stall(const RequestSpec& aSpec);
   void Resume();
   [[nodiscard]] std::size_t size() const noexcept { return size_; }
--- a/include/marjoramtally/process/early_refusal.hpp
+++ b/include/marjoramtally/process/early_refusal.hpp
@@ -1,5 +1,5 @@
-/// Refusal of requests that cannot meet their deadline, by the rate at which
-/// the queue drains and by how long upstreams take.
+/// Early refusal of requests that cannot meet their deadline, estimated from
+/// the drain rate of the queue and the service times of upstreams.
 #pragma once
 
 #include "marjoramtally/request/request.hpp"
@@ -8,8 +8,8 @@
 
 namespace marjoramtally {
 
-/// Tracks a quantile of a positive quantity without keeping values: each
-/// value moves the estimate by a share of itself.
+/// Tracks a quantile of a positive quantity without storing values: each value
+/// moves the estimate by a fixed fraction of the estimate.
 class QuantileTracker
 {
 public:
@@ -27,13 +27,14 @@
   double estimate_ = 0;
 };
 
-/// What early refusal says of a request.
+/// Decision on one request.
 struct RefusalVerdict
 {
   bool refuse_ = false;
   /// Expected time in the queue.
   Duration wait_{ 0 };
-  /// When the same request would meet its deadline if nothing else came.
+  /// Time after which the same request would meet its deadline if no other
+  /// requests arrived.
   Duration retryAfter_{ 0 };
 };
 
@@ -42,52 +43,54 @@
 {
 public:
   /// Records a completion.
-  /// @param aExpectedCost what it was expected to cost: service times are
-  /// learned against it
-  /// @param aCost what it cost
-  /// @param aBacklog whether requests were waiting: only then is the rate of
-  /// completions the rate at which the queue drains
+  /// @param aExpectedCost cost estimated before the request ran; service times
+  /// are learned per unit of it
+  /// @param aCost actual cost
+  /// @param aBacklog whether requests were waiting; only then does the
+  /// completion rate equal the drain rate of the queue
   void OnCompleted(RequestClass aClass,
                    double aExpectedCost,
                    double aCost,
                    Duration aTook,
                    bool aBacklog,
                    TimePoint aNow) noexcept;
-  /// Records that a request's deadline passed at an upstream after a time
-  /// there.
+  /// Records that a request's deadline passed while it was at an upstream.
+  /// @param aTook time since it was sent there
   void OnDeadlinePassed(RequestClass aClass,
                         double aExpectedCost,
                         Duration aTook) noexcept;
-  /// @param aCostAhead expected cost that goes before the request, divided
-  /// by the part of the drain rate that serves its queue
+  /// Decides whether to refuse a request.
+  /// @param aCostAhead expected cost that is dispatched before the request,
+  /// divided by the share of the drain rate that serves its queue
   [[nodiscard]] RefusalVerdict Judge(const RequestSpec& aRequest,
                                      double aCost,
                                      double aCostAhead,
                                      TimePoint aNow) const noexcept;
-  /// Records how long a request waited that was told to expect `aExpected`.
+  /// Records the actual wait of a request whose expected wait was `aExpected`.
   void OnWaited(RequestClass aClass,
                 Duration aExpected,
                 Duration aWaited) noexcept;
-  /// @returns time at an upstream that a deadline must leave room for
+  /// @returns time at an upstream for which a deadline must leave room
   [[nodiscard]] Duration ServiceTime(RequestClass aClass,
                                      double aCost) const noexcept;
-  /// @returns time until such a cost ahead has drained, corrected by how
-  /// earlier expectations held; zero while unknown
+  /// @returns time until the cost ahead has drained, corrected by the ratio of
+  /// earlier actual to expected waits; zero while the drain rate is unknown
   [[nodiscard]] Duration ExpectedWait(RequestClass aClass,
                                       double aCostAhead) const noexcept;
-  /// @returns cost a second; zero while unknown
+  /// @returns cost per second; zero while unknown
   [[nodiscard]] double DrainRate() const noexcept { return drainRate_; }
 
 private:
-  /// Quantile of real over expected wait that corrects expectations.
+  /// Quantile of the ratio of actual to expected wait that corrects
+  /// expectations.
   static constexpr double kWaitQuantile = 0.5;
 
-  /// What is learned of one class's time at upstreams.
+  /// Learned service times of one class.
   struct ServiceTimes
   {
-    /// Mean microseconds for each unit of expected cost; 0 is unknown.
+    /// Mean microseconds per unit of expected cost; 0 means unknown.
     double perCost_ = 0;
-    /// Mean distance from that mean.
+    /// Mean absolute deviation from `perCost_`.
     double deviation_ = 0;
   };
 
@@ -96,12 +99,12 @@
                         Duration aTook) noexcept;
   [[nodiscard]] double WaitCorrection(RequestClass aClass) const noexcept;
 
-  /// Cost completed in the present window.
+  /// Cost completed in the current window.
   double windowCost_ = 0;
   TimePoint windowStart_;
   bool windowOpen_ = false;
   double drainRate_ = 0;
-  /// Real wait over expected wait.
+  /// Ratio of actual to expected wait.
   std::array<QuantileTracker, kRequestClasses> waitRatio_{
     QuantileTracker(kWaitQuantile),
     QuantileTracker(kWaitQuantile),
--- a/include/marjoramtally/process/fair_queue.hpp
+++ b/include/marjoramtally/process/fair_queue.hpp
@@ -1,6 +1,6 @@
-/// Start-time fair queueing with several requests dispatched at once,
-/// SFQ(D), with the parts that FlashFQ (Shen and Park, USENIX ATC 2013) adds:
-/// throttled dispatch and anticipation. A flow is one trainer.
+/// Start-time fair queueing with several requests in flight, SFQ(D), extended
+/// by throttled dispatch and anticipation as in FlashFQ (Shen and Park, USENIX
+/// ATC 2013). A flow is one trainer.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -13,30 +13,31 @@
 
 namespace marjoramtally {
 
-/// Names a request within this process.
+/// Identifies a request within this process.
 using TicketId = Strong<std::uint64_t, struct TicketTag>;
-/// Names a flow that gets a share.
+/// Identifies a flow that gets a share.
 using FlowId = Strong<std::string, struct FlowTag>;
 
 /// How virtual time advances.
 enum class VirtualTimeRule : std::uint8_t
 {
-  /// Least start tag of any request not yet completed: Min-SFQ(D).
+  /// Minimum start tag of all requests not yet completed: Min-SFQ(D).
   MinOutstanding,
-  /// Greatest start tag dispatched so far: plain SFQ(D).
+  /// Maximum start tag dispatched so far: plain SFQ(D).
   MaxDispatched,
 };
 
-/// The parts of the scheduler that can be switched.
+/// Optional parts of the scheduler.
 struct FairQueueSettings
 {
   VirtualTimeRule rule_ = VirtualTimeRule::MinOutstanding;
-  /// Throttled dispatch: cost per unit of weight that a flow may be ahead of
-  /// the active flow that lags most. Nothing switches it off.
+  /// Throttled dispatch: cost per unit of weight by which a flow may be ahead
+  /// of the active flow with the least progress; unset disables throttling.
   std::optional<double> throttle_;
-  /// Anticipation: time that a flow stays active after its last completion.
+  /// Anticipation: time for which a flow stays active after its last
+  /// completion.
   Duration anticipation_{ 0 };
-  /// Part of that time in which it may hold others back by the throttle.
+  /// Part of that time in which the flow can throttle others.
   Duration blockingAnticipation_{ 0 };
 };
 
@@ -47,11 +48,11 @@
   FlowId flow_;
   /// Expected cost in tokens.
   double cost_ = 1;
-  /// Goes before all of its flow, as a request that is sent again.
+  /// Placed ahead of all others of its flow, as a retried request.
   bool front_ = false;
 };
 
-/// Queues of flows that share by weight. Operations cost O(log n). Not
+/// Queues of flows that share capacity by weight. Operations cost O(log n). Not
 /// thread-safe.
 class FairQueue
 {
@@ -64,25 +65,27 @@
   /// Sets the share of a flow; 1 unless set.
   void SetWeight(const FlowId& aFlow, double aWeight);
   void Push(const FairRequest& aRequest, TimePoint aNow);
-  /// Withdraws a waiting request.
+  /// Removes a waiting request.
   void Remove(TicketId aTicket);
-  /// @returns the request to dispatch next, which stays in the queue
+  /// @returns the request to dispatch next, which stays queued; nothing if all
+  /// are stalled or throttled
   [[nodiscard]] std::optional<TicketId> Next(TimePoint aNow);
-  /// Takes a waiting request out for dispatch.
+  /// Marks a waiting request as dispatched.
   void Dispatch(TicketId aTicket);
-  /// Ends a dispatched request and corrects its flow by the real cost.
+  /// Ends a dispatched request and corrects its flow's tag by the actual cost.
   void Complete(TicketId aTicket, double aCost, TimePoint aNow);
-  /// Passes over a request's flow until `Resume`.
+  /// Skips a request's flow until `Resume`.
   void Stall(TicketId aTicket);
   void Resume();
   [[nodiscard]] std::size_t size() const noexcept { return waiting_; }
-  /// @returns expected cost that waits in a flow, and its share of the
-  /// weights of the flows that wait
+  /// @returns expected cost of the waiting requests of a flow
   [[nodiscard]] double QueuedCost(const FlowId& aFlow) const;
+  /// @returns a flow's fraction of the weights of all waiting flows, itself
+  /// included
   [[nodiscard]] double Share(const FlowId& aFlow) const;
 
 private:
-  /// Position in a flow: first those sent again, then the longest expected
+  /// Order within a flow: retried requests first, then the longest expected
   /// (by powers of two), then the oldest.
   struct Position
   {
@@ -103,7 +106,7 @@
     std::set<Position> waiting_;
     std::size_t inFlight_ = 0;
     bool stalled_ = false;
-    /// Whether the flow has nothing outstanding but is expected back.
+    /// Whether the flow has nothing outstanding but is expected to send again.
     bool anticipated_ = false;
     TimePoint idleSince_;
     /// Whether its progress can throttle others.
@@ -122,10 +125,12 @@
 
   [[nodiscard]] std::uint32_t IndexOf(const FlowId& aFlow);
   [[nodiscard]] const Flow* Find(const FlowId& aFlow) const;
-  /// Takes a flow out of the ordered sets before its tags change, and back.
+  /// Removes a flow from the ordered sets; required before its tags change.
   void Detach(std::uint32_t aIndex);
+  /// Inserts a flow into the ordered sets by its current state.
   void Attach(std::uint32_t aIndex);
-  /// Brings a flow that had nothing outstanding up to virtual time.
+  /// Ends a flow's anticipation or, if it had nothing outstanding, moves it up
+  /// to virtual time.
   void Activate(std::uint32_t aIndex);
   void ExpireAnticipation(TimePoint aNow);
   void AdvanceVirtualTime();
@@ -137,12 +142,13 @@
   std::unordered_map<TicketId, Entry> entries_;
   /// Flows with waiting requests that are not stalled, by next start tag.
   std::set<FlowKey> ready_;
-  /// Start tags of all that is outstanding: dispatched requests, first
-  /// waiting requests, anticipated requests.
+  /// Start tags of everything outstanding: dispatched requests, the first
+  /// waiting request of each flow, and anticipated requests.
   std::multiset<double> outstanding_;
-  /// Active flows with nothing waiting, by progress. Flows that wait are not
-  /// among them: the one to be dispatched is the least of those by its tag,
-  /// and a corrected cost may put that tag far after the last progress.
+  /// Active flows without waiting requests, by progress. Flows with waiting
+  /// requests are excluded: the one dispatched next has the least tag among
+  /// them anyway, and a corrected cost can move that tag far past the flow's
+  /// last progress, so that two such flows would throttle each other.
   std::set<FlowKey> active_;
   std::set<FlowTimer> anticipationEnds_;
   std::set<FlowTimer> blockingEnds_;
--- a/include/marjoramtally/process/quarantine.hpp
+++ b/include/marjoramtally/process/quarantine.hpp
@@ -1,9 +1,9 @@
-/// Finds requests that crash their upstreams and keeps them from running.
+/// Detects requests that crash their upstreams and refuses to run them.
 ///
-/// All requests that a crash broke share the suspicion. A completion clears
-/// a request. Suspects run apart from each other, so that the second crash
-/// of a request has no other request to blame: at one instance at most one
-/// at an upstream, and instances share the upstreams out. After two
+/// Every request in progress at a crash becomes a suspect, and a completion
+/// clears it. Suspects run isolated from each other, so that a second crash can
+/// be attributed to one request: an instance runs at most one suspect per
+/// upstream, and the upstreams are divided among the instances. After two
 /// independent crashes a request is refused until its quarantine expires.
 #pragma once
 
@@ -15,27 +15,28 @@
 
 namespace marjoramtally {
 
-/// When requests are quarantined, and for how long.
+/// Conditions and lengths of quarantines.
 struct QuarantineOptions
 {
   /// Independent crashes after which a request is refused.
   std::size_t crashes_ = 2;
-  /// The same where another request was at each of these crashes as well. If
-  /// it is more than `crashes_`, a request is not refused while another one was
-  /// at all of its crashes and at further ones: that one explains them.
+  /// The same if another request was in progress at each of these crashes too.
+  /// If greater than `crashes_`, a request is not refused while another request
+  /// was in progress at all of its crashes and at further ones, because that
+  /// request explains them.
   std::size_t crashesInCommon_ = 2;
-  /// A crash counts from this time after its report on, so that the reports
-  /// against others that were there have come.
+  /// Time after its report at which a crash starts to count. By then the
+  /// reports on the other requests of the same crash have arrived.
   Duration settlingTime_{ 0 };
-  /// For so long after a crash a suspect runs only at upstreams that are
-  /// this instance's for suspects.
+  /// Time after a crash for which a suspect runs only at the upstreams that are
+  /// assigned to this instance for suspects.
   Duration ownUpstreamsOnly_ = std::chrono::seconds(1);
-  /// How long a crash is held against a request.
+  /// Time for which a crash counts against a request.
   Duration crashRetention_ = std::chrono::minutes(10);
-  /// Length of a first quarantine; each further one doubles.
+  /// Length of the first quarantine; each further one is twice as long.
   Duration firstQuarantine_ = std::chrono::minutes(10);
   Duration maxQuarantine_ = std::chrono::hours(4);
-  /// Most fingerprints remembered; the oldest go first.
+  /// Maximum number of suspicions kept; the least recent are evicted.
   std::size_t maxSuspicions_ = 4096;
 };
 
@@ -43,15 +44,15 @@
 struct QuarantineVerdict
 {
   bool refused_ = false;
-  /// Runs on an upstream where no other suspect is in progress.
+  /// Must run at an upstream where no other suspect is in progress.
   bool isolated_ = false;
   /// Set if refused.
   Duration retryAfter_{ 0 };
-  /// For people; set if refused.
+  /// Human-readable; set if refused.
   std::string reason_;
 };
 
-/// Suspicions of one instance. Not thread-safe.
+/// The suspicions of one instance. Not thread-safe.
 class Quarantine
 {
 public:
@@ -63,63 +64,65 @@
   /// @returns whether a request may run
   [[nodiscard]] QuarantineVerdict Judge(Fingerprint aFingerprint,
                                         TimePoint aNow);
-  /// Sets the upstreams where other instances run their suspects first.
+  /// Sets the upstreams that are assigned to other instances for suspects.
   void SetOthersUpstreams(std::set<UpstreamId> aUpstreams)
   {
     othersUpstreams_ = std::move(aUpstreams);
   }
-  /// @returns whether a request may start at an upstream; a suspect may if
-  /// no other suspect is in progress there, and it is itself nowhere
+  /// @returns whether a request may start at an upstream; a suspect may if no
+  /// other suspect is in progress there and the request itself is in progress
+  /// nowhere
   [[nodiscard]] bool MayStart(Fingerprint aFingerprint,
                               const UpstreamId& aUpstream,
                               TimePoint aNow) const;
-  /// @returns upstreams that a suspect had better not start at
+  /// @returns upstreams at which a request should not start if possible; none
+  /// unless it is a suspect
   [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
     Fingerprint aFingerprint) const;
   /// Records that an attempt started.
   void OnSent(const UpstreamId& aUpstream,
               Fingerprint aFingerprint,
               TimePoint aNow);
-  /// Records an attempt that neither completed nor broke.
+  /// Records the end of an attempt that neither completed nor broke.
   void OnEnded(const UpstreamId& aUpstream, Fingerprint aFingerprint);
-  /// Records a whole answer.
-  /// @returns what to tell other instances
+  /// Records a complete answer.
+  /// @returns updates for the other instances
   [[nodiscard]] std::vector<SuspicionUpdate> OnCompleted(
     const UpstreamId& aUpstream,
     Fingerprint aFingerprint);
   /// Records an attempt whose connection broke after bytes were sent.
-  /// @returns what to tell other instances
+  /// @returns updates for the other instances
   [[nodiscard]] std::vector<SuspicionUpdate> OnBroken(
     const UpstreamId& aUpstream,
     Fingerprint aFingerprint,
     TimePoint aNow);
-  /// Takes what another instance found.
+  /// Applies an update from another instance.
   void OnUpdate(const SuspicionUpdate& aUpdate, TimePoint aNow);
-  /// The incarnation of an upstream goes on: it has not crashed.
+  /// Withdraws all crashes of an upstream whose incarnation is still running.
   void OnAlive(const UpstreamId& aUpstream, TimePoint aNow);
-  /// @returns whether a request is suspected or refused
+  /// @returns whether a request is a suspect or refused
   [[nodiscard]] bool Suspects(Fingerprint aFingerprint) const
   {
     return suspicions_.contains(aFingerprint);
   }
-  /// @returns what to tell an instance that asks for a request; empty if
-  /// nothing is known against it
+  /// @returns the suspicion against a request, for an instance that asks; empty
+  /// if there is none
   [[nodiscard]] std::vector<SuspicionUpdate> KnownSuspicion(
     Fingerprint aFingerprint,
     TimePoint aNow) const;
-  /// @returns fingerprints suspected or refused
+  /// @returns the number of requests suspected or refused
   [[nodiscard]] std::size_t size() const noexcept { return suspicions_.size(); }
-  /// @returns fingerprints now refused
+  /// @returns the number of requests now refused
   [[nodiscard]] std::size_t Refused(TimePoint aNow) const;
 
 private:
   struct Crash
   {
     UpstreamId upstream_;
-    /// When the request had started there.
+    /// Start of the attempt there.
     TimePoint startedAt_;
     TimePoint crashedAt_;
-    /// When it became known here.
+    /// When this instance learned of it.
     TimePoint reportedAt_;
   };
   using Running = std::multimap<Fingerprint, TimePoint>;
@@ -127,7 +130,7 @@
   {
     std::vector<Crash> crashes_;
     TimePoint refusedUntil_;
-    /// Quarantines so far.
+    /// Number of quarantines so far.
     std::uint32_t quarantines_ = 0;
   };
 
@@ -136,13 +139,14 @@
   static void AddCrash(Suspicion& aSuspicion, Crash aCrash);
   [[nodiscard]] static bool WasInvolvedIn(const Suspicion& aSuspicion,
                                           const Crash& aCrash);
-  /// @returns the settled crashes without those at which a refused request
-  /// was that has more of them
+  /// @returns the settled crashes except those that a refused request with more
+  /// crashes explains, because it was in progress there too
   [[nodiscard]] std::vector<Crash> UnexplainedCrashes(
     const Suspicion& aSuspicion,
     TimePoint aNow) const;
-  /// @returns the most crashes of another request that was at all of these
-  [[nodiscard]] std::size_t MaxCrashesInCommon(
+  /// @returns the maximum number of crashes of any other request that was in
+  /// progress at all of these; 0 if there is none
+  [[nodiscard]] std::size_t MaxCrashesOfCoSuspect(
     const Suspicion& aSuspicion,
     const std::vector<Crash>& aCrashes) const;
   [[nodiscard]] bool IsQuarantineDue(const Suspicion& aSuspicion,
@@ -157,8 +161,8 @@
     const std::vector<Crash>& aCrashes);
   [[nodiscard]] bool HasOtherSuspect(const Running& aRunning,
                                      Fingerprint aFingerprint) const;
-  /// Ends the oldest attempt.
-  /// @returns when it had started
+  /// Ends one attempt of a request at an upstream, the first one sent.
+  /// @returns its start; `aNow` if unknown
   TimePoint EndAttempt(const UpstreamId& aUpstream,
                        Fingerprint aFingerprint,
                        TimePoint aNow);
@@ -167,7 +171,7 @@
 
   QuarantineOptions options_;
   std::unordered_map<Fingerprint, Suspicion> suspicions_;
-  /// Attempts in progress, by upstream, with their start.
+  /// Attempts in progress with their start, by upstream.
   std::map<UpstreamId, Running> running_;
   std::set<UpstreamId> othersUpstreams_;
 };
--- a/include/marjoramtally/process/retry_budget.hpp
+++ b/include/marjoramtally/process/retry_budget.hpp
@@ -1,5 +1,5 @@
-/// Limits retries to a share of successes, so that a failing service gets
-/// few more attempts than requests.
+/// Limits retries to a fraction of successes, so that retries add little load
+/// to a failing service.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -8,15 +8,15 @@
 
 namespace marjoramtally {
 
-/// How many retries a service may have.
+/// Limits of a service's retries.
 struct RetryBudgetOptions
 {
-  /// Retries earned by each success.
+  /// Retries added to the budget by each success.
   double retriesPerSuccess_ = 0.2;
-  /// Retries that a service has before its first success: one upstream's
-  /// worth of requests in flight, so that its crash is not seen by callers.
+  /// Budget before the first success. It covers the requests in flight at one
+  /// upstream, so that callers do not notice its crash.
   double initial_ = 64;
-  /// Most retries that can be saved up.
+  /// Maximum budget.
   double maxBalance_ = 256;
 };
 
@@ -29,12 +29,12 @@
   {
   }
 
-  /// Records a whole answer.
+  /// Records a complete answer.
   void OnSuccess(const ServiceId& aService);
-  /// Takes one retry out of the budget.
-  /// @returns whether there was one
+  /// Takes one retry from the budget.
+  /// @returns false if the budget is exhausted
   [[nodiscard]] bool Take(const ServiceId& aService);
-  /// @returns retries left
+  /// @returns the remaining budget in retries
   [[nodiscard]] double Left(const ServiceId& aService) const;
 
 private:
--- a/src/process/claims.cpp
+++ b/src/process/claims.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Tries of writing the end of a request.
+/// Maximum number of tries to write the end of a request.
 constexpr std::uint32_t kMaxCloseTries = 5;
 
 } // namespace
@@ -78,7 +78,8 @@
     out.verdicts_.push_back(AnswerResend(aRequest, known->second));
     return out;
   }
-  const bool slow = busy_ && aNow - started_ >= options_.slowCommit_;
+  const bool slow =
+    committing_ && aNow - commitStartedAt_ >= options_.slowCommit_;
   if (slow || aNow < pausedUntil_ || queue_.size() >= options_.maxWaiting_) {
     out.verdicts_.push_back({ aRequest.ticket_,
                               ClaimAnswer::Refused,
@@ -89,7 +90,7 @@
   Entry entry;
   entry.record_.token_ = owner_ + "/" + std::to_string(++lastToken_);
   entry.record_.fingerprint_ = aRequest.fingerprint_;
-  entry.since_ = aNow;
+  entry.claimedAt_ = aNow;
   const std::string name = aRequest.name_;
   entry.request_ = std::move(aRequest);
   entries_.emplace(name, std::move(entry));
@@ -101,13 +102,13 @@
 void
 ClaimTable::Flush(TimePoint aNow, ClaimActions& aOut)
 {
-  if (busy_) {
+  if (committing_) {
     return;
   }
   if (!splitBatches_.empty()) {
     std::vector<std::string> names = std::move(splitBatches_.front());
     splitBatches_.pop_front();
-    Start(std::move(names), aNow, aOut);
+    StartCommit(std::move(names), aNow, aOut);
     return;
   }
   if (aNow < nextCommit_ || aNow < pausedUntil_ || queue_.empty()) {
@@ -118,7 +119,7 @@
     names.push_back(std::move(queue_.front()));
     queue_.pop_front();
   }
-  Start(std::move(names), aNow, aOut);
+  StartCommit(std::move(names), aNow, aOut);
 }
 
 bool
@@ -131,9 +132,9 @@
 }
 
 void
-ClaimTable::Start(std::vector<std::string> aNames,
-                  TimePoint aNow,
-                  ClaimActions& aOut)
+ClaimTable::StartCommit(std::vector<std::string> aNames,
+                        TimePoint aNow,
+                        ClaimActions& aOut)
 {
   std::unordered_set<std::string> taken;
   std::erase_if(aNames, [&](const std::string& aName) {
@@ -153,8 +154,8 @@
     batch.writes_.push_back(WriteOf(entry));
   }
   writing_ = std::move(aNames);
-  busy_ = true;
-  started_ = aNow;
+  committing_ = true;
+  commitStartedAt_ = aNow;
   nextCommit_ = aNow + options_.minCommitInterval_;
   aOut.batches_.push_back(std::move(batch));
 }
@@ -169,27 +170,27 @@
 
 ClaimActions
 ClaimTable::OnCommit(ClaimBatchId aId,
-                     CommitResult aEnd,
+                     CommitResult aResult,
                      std::uint64_t aRevision,
                      TimePoint aNow)
 {
   ClaimActions out;
-  if (!busy_ || aId != current_) {
+  if (!committing_ || aId != current_) {
     return out;
   }
-  busy_ = false;
+  committing_ = false;
   std::vector<std::string> names = std::move(writing_);
   writing_.clear();
-  if (aEnd == CommitResult::Conflict) {
+  if (aResult == CommitResult::Conflict) {
     OnConflict(std::move(names), aNow, out);
-  } else if (aEnd == CommitResult::Applied) {
+  } else if (aResult == CommitResult::Applied) {
     for (const std::string& name : names) {
       OnApplied(name, aRevision, aNow, out);
     }
   } else {
     pausedUntil_ = aNow + options_.failurePause_;
     for (const std::string& name : names) {
-      OnFailed(name, aEnd == CommitResult::NoEffect, out);
+      OnFailed(name, aResult == CommitResult::NoEffect, out);
     }
   }
   Flush(aNow, out);
@@ -239,7 +240,8 @@
 {
   Entry& entry = entries_.at(aName);
   if (entry.phase_ == Phase::Closing) {
-    // The revision protects it: writing it again cannot harm a later claim.
+    // Writing again cannot overwrite a later claim: the write is conditional on
+    // the record's revision.
     if (!std::exchange(entry.answered_, true)) {
       aOut.closed_.push_back(entry.request_.ticket_);
     }
@@ -250,7 +252,8 @@
     }
     return;
   }
-  // A token that was in doubt before is in doubt still.
+  // If the claim was written before, the earlier write of the same token may
+  // still take effect.
   if (aNoEffect && entry.tries_ == 0) {
     Answer(entry,
            ClaimAnswer::Refused,
--- a/src/process/claims_resolution.cpp
+++ b/src/process/claims_resolution.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Commits of one claim; when read back and absent, it is written again.
+/// Maximum number of times a claim is written again after it was read back and
+/// found absent.
 constexpr std::uint32_t kMaxClaimRewrites = 2;
 
 } // namespace
@@ -32,24 +33,25 @@
 
 void
 ClaimTable::OnClaimNotWon(const std::string& aName,
-                          const ClaimReadResult& aReading,
+                          const ClaimReadResult& aResult,
                           TimePoint aNow,
                           ClaimActions& aOut)
 {
   Entry& entry = entries_.at(aName);
-  if (aReading.record_) {
-    // Another's claim: its state may still change, so nothing is kept.
+  if (aResult.record_) {
+    // Another send holds the claim. Its state may still change, so nothing is
+    // kept here.
     if (!entry.answered_) {
       aOut.verdicts_.push_back(
-        AnswerFromRecord(entry.request_, *aReading.record_));
+        AnswerFromRecord(entry.request_, *aResult.record_));
     }
     entries_.erase(aName);
     return;
   }
-  const bool again = !aReading.failed_ && !entry.answered_ &&
-                     entry.tries_ < kMaxClaimRewrites &&
-                     aNow < entry.request_.deadline_;
-  if (again) {
+  const bool rewrite = !aResult.failed_ && !entry.answered_ &&
+                       entry.tries_ < kMaxClaimRewrites &&
+                       aNow < entry.request_.deadline_;
+  if (rewrite) {
     ++entry.tries_;
     entry.phase_ = Phase::Queued;
     queue_.push_back(aName);
@@ -69,7 +71,7 @@
 
 ClaimActions
 ClaimTable::OnRead(const std::string& aName,
-                   const ClaimReadResult& aReading,
+                   const ClaimReadResult& aResult,
                    TimePoint aNow)
 {
   ClaimActions out;
@@ -80,11 +82,11 @@
   }
   Entry& entry = it->second;
   const bool ours =
-    aReading.record_ && aReading.record_->token_ == entry.record_.token_;
+    aResult.record_ && aResult.record_->token_ == entry.record_.token_;
   if (ours) {
-    OnClaimWon(entry, aReading.revision_, aNow, out);
+    OnClaimWon(entry, aResult.revision_, aNow, out);
   } else {
-    OnClaimNotWon(aName, aReading, aNow, out);
+    OnClaimNotWon(aName, aResult, aNow, out);
   }
   Flush(aNow, out);
   return out;
@@ -109,7 +111,8 @@
   entry.record_.state_ = aOutcome == Outcome::Completed ? ClaimState::Completed
                                                         : ClaimState::Unknown;
   if (!entry.release_) {
-    // Its caller need not wait: a resend meets the claim anyway.
+    // The caller need not wait for this write: a resend finds the claim in any
+    // case.
     entry.answered_ = true;
     out.closed_.push_back(entry.request_.ticket_);
   }
@@ -169,7 +172,8 @@
                         ClaimActions& aOut)
 {
   const bool stuck =
-    (busy_ && aNow - started_ >= options_.slowCommit_) || aNow < pausedUntil_;
+    (committing_ && aNow - commitStartedAt_ >= options_.slowCommit_) ||
+    aNow < pausedUntil_;
   const bool late = aNow >= aEntry.request_.deadline_;
   if (aEntry.phase_ == Phase::Queued && (late || stuck)) {
     Answer(aEntry, ClaimAnswer::Refused, "its claim could not be made", aOut);
@@ -182,9 +186,9 @@
                       aEntry.phase_ == Phase::Reading)) {
     Answer(aEntry, ClaimAnswer::Refused, "its claim took too long", aOut);
   } else if (aEntry.phase_ == Phase::Orphan) {
-    if (aNow - aEntry.since_ >= options_.orphanLifetime_) {
+    if (aNow - aEntry.claimedAt_ >= options_.orphanLifetime_) {
       entries_.erase(aName);
-    } else if (aNow - aEntry.since_ >=
+    } else if (aNow - aEntry.claimedAt_ >=
                options_.orphanReadInterval_ * aEntry.tries_) {
       ++aEntry.tries_;
       aOut.reads_.push_back(aName);
--- a/src/process/crash_watch.cpp
+++ b/src/process/crash_watch.cpp
@@ -74,7 +74,8 @@
     return aBreak.fingerprint_ == aFingerprint;
   });
   if (sentAt) {
-    // What was sent after a break and answered proves that the upstream lives.
+    // A call that was sent after a break and answered proves that the upstream
+    // is alive.
     ForgetBreaks(aUpstream, *sentAt);
   }
   return quarantine_.OnCompleted(aUpstream, aFingerprint);
@@ -87,8 +88,8 @@
 {
   const auto sentAt = EndCall(aUpstream, aFingerprint);
   const auto registration = registered_.find(aUpstream);
-  // Those that leave break connections as they go, some without notice after
-  // the end of their registration.
+  // Upstreams that leave close their connections, some of them without notice
+  // after the end of their registration.
   if (!sentAt || aNow - *sentAt > options_.maxRunBeforeCrash_ ||
       registration == registered_.end() || registration->second.leaving_) {
     return;
@@ -131,8 +132,9 @@
     if (broken.upstream_ == aUpstream &&
         aNow - broken.brokenAt_ <= options_.maxRegistrationLag_ &&
         last - broken.brokenAt_ <= options_.breakSpread_) {
-      // Sent again to a dying upstream, or by two instances, a request breaks
-      // twice by one crash.
+      // One crash can break a request twice, if it was retried at the dying
+      // upstream or sent by two instances. The earlier start makes both breaks
+      // overlap, so that they count as one crash.
       const TimePoint startedAt =
         std::min(broken.sentAt_, broken.brokenAt_ - options_.breakSpread_);
       SuspicionUpdate update;
@@ -141,7 +143,7 @@
         { aUpstream, aNow - broken.brokenAt_, broken.brokenAt_ - startedAt }
       };
       quarantine_.OnUpdate(update, aNow);
-      // All that is known goes out, for those who missed an earlier report.
+      // Sends the full suspicion, for instances that missed an earlier report.
       Updates known = KnownSuspicion(update.fingerprint_, aNow);
       std::move(known.begin(), known.end(), std::back_inserter(updates));
     }
--- a/src/process/customer_table.cpp
+++ b/src/process/customer_table.cpp
@@ -34,7 +34,7 @@
     if (name.empty()) {
       findings.emplace_back("a customer has no name");
     } else if (!names.insert(customer.name_).second) {
-      findings.push_back("customer " + name + " stands twice");
+      findings.push_back("customer " + name + " is listed twice");
     }
     for (const std::string& key : customer.keys_) {
       if (key.empty()) {
@@ -103,7 +103,7 @@
   if (aPublic) {
     return { KeyVerdict::Granted, {} };
   }
-  // No configuration can hold a key that was not sent.
+  // A missing key is refused whatever the age: no configuration can contain it.
   const bool certain = key.empty() || aAge <= aBounds.unknown_;
   return { certain ? KeyVerdict::Refused : KeyVerdict::Uncertain, {} };
 }
--- a/src/process/early_refusal.cpp
+++ b/src/process/early_refusal.cpp
@@ -7,23 +7,24 @@
 
 namespace {
 
-/// Share of the estimate by which one value moves a quantile.
+/// Fraction of the estimate by which one value moves a quantile.
 constexpr double kQuantileStep = 0.03;
-/// Deviations above the mean time that a deadline must leave room for.
+/// Mean deviations above the mean service time for which a deadline must leave
+/// room.
 constexpr double kServiceTimeDeviations = 1.5;
-/// Weight of a new time in the mean.
+/// Weight of a new service time in the moving average.
 constexpr double kServiceGain = 0.02;
-/// Completions of a window are one measurement of the drain rate.
+/// Length of the windows over which the drain rate is measured.
 constexpr Duration kRateWindow = std::chrono::milliseconds(250);
-/// Weight of a new measurement.
+/// Weight of a new measurement in the drain rate.
 constexpr double kRateGain = 0.3;
-/// Waits expected to be shorter say nothing of the correction.
+/// Expected waits shorter than this are too short to correct expectations by.
 constexpr Duration kMinLearnedWait = std::chrono::milliseconds(5);
-/// Bounds of the correction of expected waits.
+/// Bounds of the correction factor for expected waits.
 constexpr double kMinCorrection = 0.5;
 constexpr double kMaxCorrection = 10;
 constexpr double kMicrosPerSecond = 1e6;
-/// Estimates beyond this are as good as never.
+/// Upper bound of estimates, one hour.
 constexpr double kMaxMicros = 3.6e9;
 
 Duration
@@ -80,7 +81,8 @@
                                double aExpectedCost,
                                Duration aTook) noexcept
 {
-  // The whole answer would have taken longer still.
+  // A lower bound of the service time: the complete answer would have taken
+  // longer.
   if (aTook > ServiceTime(aClass, aExpectedCost)) {
     LearnServiceTime(aClass, aExpectedCost, aTook);
   }
@@ -123,7 +125,8 @@
   const double ratio = static_cast<double>(aWaited.count()) /
                        static_cast<double>(aExpected.count());
   const std::size_t index = static_cast<std::size_t>(aClass);
-  // Expectations carry the correction already, so the ratio is relative to it.
+  // Expected waits already include the correction, so the ratio is relative to
+  // it.
   const double absolute = ratio * WaitCorrection(aClass);
   waitRatio_.at(index).Add(
     std::clamp(absolute, kMinCorrection, kMaxCorrection));
@@ -156,7 +159,8 @@
   RefusalVerdict verdict;
   verdict.wait_ = ExpectedWait(aRequest.class_, aCostAhead);
   if (aRequest.deadline_ == kNever || aCostAhead <= 0) {
-    // With nothing ahead it goes at once: its time renews the estimates.
+    // With nothing ahead the request is dispatched at once, and its service
+    // time updates the estimates.
     return verdict;
   }
   const Duration service = ServiceTime(aRequest.class_, aCost);
--- a/src/process/fair_queue.cpp
+++ b/src/process/fair_queue.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Costs below this count as this, so that no request is free.
+/// Minimum cost of a request, so that none is free.
 constexpr double kMinCost = 1;
 
-/// Greater for shorter requests; equal within a power of two.
+/// @returns a rank that is greater for shorter requests and equal within a
+/// power of two
 int
 Shortness(double aCost) noexcept
 {
--- a/src/process/quarantine.cpp
+++ b/src/process/quarantine.cpp
@@ -201,7 +201,7 @@
   return { Describe(aFingerprint, it->second, aNow) };
 }
 
-/// Attempts that ran at one upstream at the same time broke by one crash.
+/// Attempts that overlapped at one upstream were broken by the same crash.
 bool
 Quarantine::SameCrash(const Crash& aOne, const Crash& aOther) noexcept
 {
@@ -254,8 +254,8 @@
 }
 
 std::size_t
-Quarantine::MaxCrashesInCommon(const Suspicion& aSuspicion,
-                               const std::vector<Crash>& aCrashes) const
+Quarantine::MaxCrashesOfCoSuspect(const Suspicion& aSuspicion,
+                                  const std::vector<Crash>& aCrashes) const
 {
   std::size_t most = 0;
   for (const auto& [fingerprint, other] : suspicions_) {
@@ -279,7 +279,7 @@
     return false;
   }
   const std::vector<Crash> crashes = UnexplainedCrashes(aSuspicion, aNow);
-  // After a quarantine one more crash is enough.
+  // After a quarantine, a single further crash is sufficient.
   if (aSuspicion.quarantines_ > 0) {
     return std::any_of(
       crashes.begin(), crashes.end(), [&](const Crash& aCrash) {
@@ -290,7 +290,7 @@
       options_.crashesInCommon_ <= options_.crashes_) {
     return crashes.size() >= options_.crashes_;
   }
-  const std::size_t others = MaxCrashesInCommon(aSuspicion, crashes);
+  const std::size_t others = MaxCrashesOfCoSuspect(aSuspicion, crashes);
   const std::size_t own = aSuspicion.crashes_.size();
   return others < own ||
          (others == own && crashes.size() >= options_.crashesInCommon_);
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -96,7 +96,7 @@
   {
     customers.push_back({ CustomerId{ "north" }, {}, {} });
     REQUIRE(CheckCustomers(customers) ==
-            std::vector<std::string>{ "customer north stands twice" });
+            std::vector<std::string>{ "customer north is listed twice" });
   }
   SECTION("a key that stands twice at one customer is one key")
   {
