--- a/tests/test_allocation.cpp
+++ b/tests/test_allocation.cpp
@@ -12,7 +12,7 @@
 const EngineUserId kFirst{ "a" };
 const EngineUserId kSecond{ "b" };
 
-/// An allocation of ten engines on a paused clock.
+/// An allocation of ten engines with a simulated clock.
 struct Pool
 {
   Allocation allocation_{ AllocationPolicy{} };
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("engines are shared by floor, share and ceiling")
+TEST_CASE("engines are allocated by floor, share and ceiling")
 {
   Pool pool({ { kLive, 2, 8, 1, true },
               { kFirst, 1, 10, 3, false },
@@ -58,7 +58,7 @@
   CHECK(pool.Held() == std::vector<std::uint64_t>{ 2, 6, 2 });
 }
 
-TEST_CASE("live demand takes engines back at once, down to others' floors")
+TEST_CASE("live demand reclaims engines at once, down to the floors of others")
 {
   Pool pool({ { kLive, 2, 10, 1, true },
               { kFirst, 2, 10, 1, false },
@@ -71,7 +71,7 @@
   CHECK(pool.Held() == std::vector<std::uint64_t>{ 7, 2, 1 });
 }
 
-TEST_CASE("engines do not move to and fro with noise")
+TEST_CASE("noisy demand does not move engines back and forth")
 {
   Pool pool({ { kLive, 2, 10, 1, true },
               { kFirst, 1, 10, 1, false },
@@ -89,7 +89,7 @@
   CHECK(pool.moves_ <= 6);
 }
 
-TEST_CASE("engines of a user that is gone, and new ones, find a user")
+TEST_CASE("engines of a removed user and new engines are assigned")
 {
   Pool pool({ { kLive, 2, 10, 1, true },
               { kFirst, 1, 10, 1, false },
--- a/tests/test_claims.cpp
+++ b/tests/test_claims.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t kBody = 7;
 
-/// The store's records, with the faults of one transaction at a time.
+/// In-memory records with conditional transactions, applied one at a time.
 struct FakeStore
 {
   std::map<std::string, std::pair<std::string, std::uint64_t>> records_;
@@ -49,7 +49,7 @@
   }
 };
 
-/// One entry instance: its table, and what its callers were told.
+/// One entry instance: its claim table and the answers to its callers.
 struct Instance
 {
   FakeStore& store_;
@@ -96,7 +96,7 @@
       clock_.Now()));
   }
 
-  /// Ends the transaction that is held back.
+  /// Reports an outcome for the transaction that is held back.
   void Release(CommitResult aEnd)
   {
     hold_ = false;
@@ -125,14 +125,14 @@
 
 } // namespace
 
-TEST_CASE("one of two instances runs a key, in whatever state the other is")
+TEST_CASE("only one of two instances runs a key, even if the other one is dead")
 {
   Fixture fixture;
   fixture.first_.Claim("k");
   CHECK(fixture.first_.Last() == ClaimAnswer::Run);
   fixture.first_.Claim("k");
   CHECK(fixture.first_.Last() == ClaimAnswer::InProgress);
-  // The first instance may be dead by now: the record alone decides.
+  // The first instance may be dead, so only the record decides.
   fixture.second_.Claim("k");
   CHECK(fixture.second_.Last() == ClaimAnswer::MayHaveRun);
   fixture.first_.End("k", Outcome::Completed);
@@ -145,12 +145,12 @@
   CHECK(fixture.first_.Last() == ClaimAnswer::AlreadyRan);
 }
 
-TEST_CASE("a lost answer is read back by the claim's token")
+TEST_CASE("a claim whose commit outcome is unknown is read back by its token")
 {
   Fixture fixture;
   fixture.first_.hold_ = true;
   fixture.first_.Claim("k");
-  SECTION("the claim took effect: it runs here and nowhere else")
+  SECTION("the claim was applied: the request runs here and nowhere else")
   {
     CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
           CommitResult::Applied);
@@ -166,7 +166,7 @@
     fixture.first_.Release(CommitResult::Unknown);
     CHECK(fixture.first_.Last() == ClaimAnswer::MayHaveRun);
   }
-  SECTION("the transport sent the write twice and reports the second")
+  SECTION("the transport sent the write twice and reports the second outcome")
   {
     CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
           CommitResult::Applied);
@@ -175,19 +175,20 @@
   }
 }
 
-TEST_CASE("a claim that is absent when read back can take effect later")
+TEST_CASE("a claim that is absent when read back can be applied later")
 {
   Fixture fixture;
   fixture.first_.hold_ = true;
   fixture.first_.Claim("k");
   const ClaimBatch delayed = fixture.first_.held_.front();
   fixture.first_.Release(CommitResult::Unknown);
-  // After the pause it is refused, and never runs here.
+  // The request is refused and never runs here, even after the pause.
   fixture.first_.Tick();
   REQUIRE(fixture.first_.verdicts_.size() == 1);
   CHECK(fixture.first_.Last() == ClaimAnswer::Refused);
   CHECK(fixture.store_.Apply(delayed) == CommitResult::Applied);
-  // What takes effect late is found and taken out, so that a resend runs.
+  // The claim that was applied late is found and deleted, so that a resend can
+  // run.
   for (int i = 0; i < 10; ++i) {
     fixture.clock_.Advance(std::chrono::seconds(1));
     fixture.first_.Tick();
@@ -197,7 +198,7 @@
   CHECK(fixture.second_.Last() == ClaimAnswer::Run);
 }
 
-TEST_CASE("with the store down claims are refused, later ones at once")
+TEST_CASE("claims are refused while the store is down, later ones at once")
 {
   Fixture fixture;
   fixture.first_.hold_ = true;
@@ -213,7 +214,8 @@
   CHECK(fixture.first_.Last() == ClaimAnswer::Run);
 }
 
-TEST_CASE("a claim won after its deadline is released and never run")
+TEST_CASE(
+  "a claim won after its deadline is released and its request never runs")
 {
   Fixture fixture;
   fixture.first_.hold_ = true;
@@ -228,7 +230,8 @@
   CHECK(fixture.second_.Last() == ClaimAnswer::Run);
 }
 
-TEST_CASE("a refused run is answered once its claim is released")
+TEST_CASE(
+  "a request refused by its upstream is answered once its claim is released")
 {
   Fixture fixture;
   fixture.first_.Claim("k");
@@ -237,7 +240,7 @@
   CHECK(fixture.first_.closed_.empty());
   CHECK(fixture.store_.Apply(fixture.first_.held_.front()) ==
         CommitResult::Applied);
-  // A release that is sent again must not take out a later claim.
+  // A release that is written again must not delete a later claim.
   fixture.second_.Claim("k");
   CHECK(fixture.second_.Last() == ClaimAnswer::Run);
   fixture.first_.Release(CommitResult::Unknown);
@@ -248,7 +251,7 @@
   CHECK(fixture.first_.Last() == ClaimAnswer::MayHaveRun);
 }
 
-TEST_CASE("an unknown end is recorded as unknown")
+TEST_CASE("a request with unknown outcome is recorded as unknown")
 {
   Fixture fixture;
   fixture.first_.Claim("k");
@@ -258,7 +261,7 @@
   CHECK(fixture.second_.Last() == ClaimAnswer::MayHaveRun);
 }
 
-TEST_CASE("claims that wait go in one transaction, conflicts apart")
+TEST_CASE("waiting claims share a transaction, which is split on conflict")
 {
   Fixture fixture;
   fixture.second_.Claim("k3");
@@ -277,11 +280,12 @@
     fixture.first_.verdicts_.end(),
     [](const auto& aVerdict) { return aVerdict.answer_ == ClaimAnswer::Run; });
   CHECK(run == 16);
-  // One of 16, then halves down to the one that conflicts: 1 + 2 * 4.
+  // One transaction of 16 claims, then four halvings down to the conflicting
+  // claim: 1 + 2 * 4.
   CHECK(fixture.store_.commits_ - before == 9);
 }
 
-TEST_CASE("claim records survive their text form and others do not")
+TEST_CASE("claim records round-trip through text, and invalid text is rejected")
 {
   const ClaimRecord record{
     "a/1", Fingerprint{ 0xfedcba9876543210 }, ClaimState::Completed, 201
--- a/tests/test_crash_fleet.cpp
+++ b/tests/test_crash_fleet.cpp
@@ -1,5 +1,7 @@
-/// Days of several gateways with resets, planned ends and crashes of other
-/// causes, and one request that crashes each upstream that runs it.
+/// Simulates several gateways with connection resets, announced departures and
+/// crashes of other causes, and one request that crashes each upstream that
+/// runs it. Guards against refusing innocent requests, and against running the
+/// culprit after the gateways have exchanged reports of its crashes.
 
 #include "marjoramtally/process.hpp"
 
@@ -16,7 +18,7 @@
 constexpr std::size_t kGateways = 4;
 constexpr std::size_t kSlots = 6;
 constexpr auto kRound = 20ms;
-/// Calm time after which all instances have to know.
+/// Time after which all gateways must know of a crash.
 constexpr auto kNotificationTime = 3s;
 const Fingerprint kCulprit{ 1 };
 
@@ -116,7 +118,7 @@
     }
   }
 
-  /// The registration of a server ends; gateways see it one by one.
+  /// Ends the registration of a server; gateways observe it at different times.
   void EndRegistration(const UpstreamId& aId, Duration aWait)
   {
     for (std::size_t g = 0; g < kGateways; ++g) {
@@ -133,7 +135,7 @@
     if (aCall.triesLeft_ > 0) {
       Send(aCall.request_, aCall.gateway_, aCall.triesLeft_ - 1);
     } else if (aCall.request_ != kCulprit) {
-      // Its caller comes again.
+      // The caller sends it again.
       Schedule(100ms, [this, request = aCall.request_] {
         Send(request, random_.Below(kGateways), 2);
       });
@@ -306,7 +308,7 @@
 
 } // namespace
 
-TEST_CASE("days of several gateways: the culprit is stopped, nobody else is")
+TEST_CASE("several gateways refuse the culprit and no other request")
 {
   for (const std::size_t upstreams : { 9U, 24U }) {
     int crashes = 0;
@@ -323,8 +325,8 @@
       late += result.late_;
       answered += result.answered_;
     }
-    WARN("40 days of " << upstreams << " upstreams: " << crashes
-                       << " crashes by the culprit, " << late << " late ones; "
-                       << answered << " answers");
+    WARN("40 simulated runs of " << upstreams << " upstreams: " << crashes
+                                 << " crashes by the culprit, " << late
+                                 << " late ones; " << answered << " answers");
   }
 }
--- a/tests/test_crash_watch.cpp
+++ b/tests/test_crash_watch.cpp
@@ -1,4 +1,5 @@
-/// Which ends of calls are crashes, and what they are held against.
+/// Tests which broken connections count as crashes of an upstream, and to which
+/// requests those crashes are attributed.
 
 #include "marjoramtally/process.hpp"
 
@@ -11,9 +12,9 @@
 
 const Fingerprint kCulprit{ 1 };
 const Fingerprint kInnocent{ 2 };
-/// From a crash to the end of the registration.
+/// Time from a crash to the end of the registration.
 constexpr auto kRegistrationLag = 3s;
-/// Longer than reports take to settle.
+/// Exceeds the settling time of crash reports.
 constexpr auto kSettlingTime = 500ms;
 
 UpstreamId
@@ -66,7 +67,7 @@
     return watch_.OnVanished(Upstream(aUpstream), clock_.Now());
   }
 
-  /// Requests are sent, their upstream dies and its registration ends.
+  /// Sends requests, breaks them by a crash and ends the registration.
   CrashWatch::Updates Crash(int aUpstream, std::vector<Fingerprint> aRequests)
   {
     for (const Fingerprint request : aRequests) {
@@ -94,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("crash watch: a request at two upstreams that died is refused")
+TEST_CASE("crash watch: a request in progress at two crashes is refused")
 {
   Fixture fix;
   REQUIRE(fix.Crash(0, { kCulprit }).size() == 1);
@@ -107,7 +108,7 @@
   REQUIRE_FALSE(fix.Refused(kInnocent));
 }
 
-TEST_CASE("crash watch: crashes one after the other within a call count alike")
+TEST_CASE("crash watch: two crashes reported after both breaks count as two")
 {
   Fixture fix;
   for (int i = 0; i < 2; ++i) {
@@ -121,7 +122,7 @@
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: a start time that rises is a crash")
+TEST_CASE("crash watch: a later start time of an upstream is a crash")
 {
   Fixture fix;
   for (int i = 0; i < 2; ++i) {
@@ -134,7 +135,7 @@
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: broken connections alone hold nothing against anybody")
+TEST_CASE("crash watch: broken connections alone cause no suspicion")
 {
   Fixture fix;
   for (int round = 0; round < 20; ++round) {
@@ -147,13 +148,13 @@
   }
 }
 
-TEST_CASE("crash watch: an upstream that leaves as it said has not crashed")
+TEST_CASE("crash watch: an upstream that leaves has not crashed")
 {
   Fixture fix;
   for (int i = 0; i < 3; ++i) {
     static_cast<void>(fix.Register(i, 0, true));
     REQUIRE(fix.Crash(i, { kInnocent }).empty());
-    // One that gave no notice ends its calls after its registration.
+    // An upstream without notice ends its registration before its calls.
     fix.Send(i + 3, kInnocent);
     REQUIRE(fix.Vanish(i + 3).empty());
     fix.Break(i + 3, kInnocent);
@@ -170,7 +171,7 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: a whole answer anywhere clears a request")
+TEST_CASE("crash watch: a complete answer from any upstream clears a request")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
@@ -180,7 +181,7 @@
   REQUIRE(updates.front().cleared_);
   static_cast<void>(fix.Crash(2, { kInnocent }));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // Also before the crash is known; then there is nothing to tell.
+  // Also before the crash is detected; then there is no update to send.
   fix.Send(3, kInnocent);
   fix.Break(3, kInnocent);
   fix.Send(4, kInnocent);
@@ -189,7 +190,7 @@
   REQUIRE(fix.Vanish(3).empty());
 }
 
-TEST_CASE("crash watch: an upstream that answers after a break has not died")
+TEST_CASE("crash watch: an upstream that answers after a break has not crashed")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -202,7 +203,8 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: what was sent before a break proves nothing")
+TEST_CASE(
+  "crash watch: the answer to an earlier call does not disprove a crash")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
@@ -214,7 +216,7 @@
   REQUIRE(fix.Vanish(0).size() == 1);
 }
 
-TEST_CASE("crash watch: an upstream that renews its entry has not died")
+TEST_CASE("crash watch: an upstream that renews its entry has not crashed")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -222,7 +224,7 @@
   fix.clock_.Advance(2500ms);
   static_cast<void>(fix.Register(0));
   REQUIRE(fix.watch_.Breaks() == 0);
-  // A list shows also what is about to lapse.
+  // A list does not prove it: it also contains entries about to expire.
   fix.Send(1, kCulprit);
   fix.Break(1, kCulprit);
   fix.clock_.Advance(2500ms);
@@ -232,7 +234,7 @@
   REQUIRE(fix.Vanish(1).size() == 1);
 }
 
-TEST_CASE("crash watch: an upstream that comes back had not died")
+TEST_CASE("crash watch: an upstream that registers again has not crashed")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
@@ -240,14 +242,14 @@
   REQUIRE(fix.RefusedSoon(kInnocent));
   static_cast<void>(fix.Register(0));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // As another incarnation it had.
+  // If it returns as another incarnation, it has crashed.
   static_cast<void>(fix.Crash(2, { kCulprit }));
   static_cast<void>(fix.Crash(3, { kCulprit }));
   static_cast<void>(fix.Register(2, 5));
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: upstreams missing from a whole list have ended")
+TEST_CASE("crash watch: upstreams missing from a complete list have ended")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
@@ -256,7 +258,7 @@
   REQUIRE(fix.watch_.OnList({}, fix.clock_.Now()).size() == 1);
 }
 
-TEST_CASE("crash watch: what had run for long is not blamed")
+TEST_CASE("crash watch: a crash is not attributed to a long-running request")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -265,7 +267,8 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: a reset long before the crash is not of it")
+TEST_CASE(
+  "crash watch: a connection reset long before a crash is not part of it")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -276,14 +279,14 @@
   REQUIRE(updates.front().fingerprint_ == kCulprit);
 }
 
-TEST_CASE("crash watch: who was twice with the culprit is not refused with it")
+TEST_CASE("crash watch: sharing two crashes with the culprit causes no refusal")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kCulprit, kInnocent }));
   static_cast<void>(fix.Crash(1, { kCulprit, kInnocent }));
   REQUIRE_FALSE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // They run apart, and the third crash tells.
+  // They run isolated, and the third crash identifies the culprit.
   fix.Send(2, kCulprit);
   const std::vector<UpstreamId> other{ Upstream(2) };
   REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent) == other);
@@ -296,10 +299,11 @@
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
 }
 
-TEST_CASE("crash watch: one that was at more crashes explains those of others")
+TEST_CASE("crash watch: a request at more crashes explains those of others")
 {
   Fixture fix;
-  // Few upstreams are left, so an innocent dies with the culprit each time.
+  // Few upstreams are left, so an innocent request breaks with the culprit each
+  // time.
   static_cast<void>(fix.Crash(0, { kCulprit }));
   for (int i = 1; i < 5; ++i) {
     static_cast<void>(fix.Crash(i, { kCulprit, kInnocent }));
@@ -308,7 +312,7 @@
   }
 }
 
-TEST_CASE("crash watch: a break past its window sets nobody apart")
+TEST_CASE("crash watch: a break older than its window isolates no request")
 {
   Fixture fix;
   for (const Fingerprint request : { kCulprit, kInnocent }) {
@@ -320,7 +324,7 @@
   REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent).empty());
 }
 
-TEST_CASE("crash watch: requests broken together run apart before it is known")
+TEST_CASE("crash watch: requests broken together run isolated before detection")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
@@ -337,19 +341,20 @@
   Fixture here;
   Fixture there;
   there.clock_.Advance(here.clock_.Now() - there.clock_.Now());
-  const auto tell = [&](const CrashWatch::Updates& aUpdates) {
+  const auto send = [&](const CrashWatch::Updates& aUpdates) {
     for (const SuspicionUpdate& update : aUpdates) {
       static_cast<void>(there.watch_.OnUpdate(update, there.clock_.Now()));
     }
   };
   const auto first = here.Crash(0, { kCulprit });
-  tell(first);
-  tell(first);
+  send(first);
+  send(first);
   there.clock_.Advance(kSettlingTime);
   REQUIRE_FALSE(there.Refused(kCulprit));
-  tell(here.Crash(1, { kCulprit }));
+  send(here.Crash(1, { kCulprit }));
   REQUIRE(there.RefusedSoon(kCulprit));
-  // Whoever has just started learns from the answer to its first report.
+  // An instance that has just started learns the rest from the answer to its
+  // first report.
   Fixture fresh;
   for (const SuspicionUpdate& update : fresh.Crash(3, { kCulprit })) {
     for (const auto& known :
@@ -374,7 +379,7 @@
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
 }
 
-TEST_CASE("crash watch: further crashes do not put a refusal off")
+TEST_CASE("crash watch: further crashes do not delay a refusal")
 {
   Fixture fix;
   for (int i = 0; i < 6; ++i) {
@@ -406,7 +411,7 @@
   REQUIRE_FALSE(fix.Refused(kInnocent));
 }
 
-TEST_CASE("crash watch: after a quarantine one more run, one more crash")
+TEST_CASE("crash watch: after a quarantine one more crash renews it")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kCulprit }));
@@ -420,7 +425,7 @@
   REQUIRE(fix.Refused(kCulprit));
 }
 
-TEST_CASE("crash watch: crashes long past are forgotten")
+TEST_CASE("crash watch: old crashes expire")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -17,7 +17,7 @@
   return UpstreamId{ "u" + std::to_string(aIndex) };
 }
 
-/// What the run of a fleet showed.
+/// Counts of one simulated run.
 struct FleetResult
 {
   std::uint64_t crashes_ = 0;
@@ -26,8 +26,8 @@
   std::uint64_t maxRetries_ = 0;
 };
 
-/// Instances share suspicions; upstreams run up to 8 requests at a time
-/// and die with all of them when the crasher is served.
+/// Simulates instances that exchange suspicions, and upstreams that run up to
+/// `kSlots` requests at once and crash when one of them is the crasher.
 class Fleet
 {
 public:
@@ -70,7 +70,7 @@
       waiting_.push_back({ Fingerprint{ ++lastFingerprint_ },
                            static_cast<std::size_t>(random_.Below(3)) });
     }
-    // The caller of the crasher sends it again each time.
+    // The caller of the crasher always retries it.
     const bool absent = std::none_of(
       waiting_.begin(), waiting_.end(), [](const Request& aRequest) {
         return aRequest.fingerprint_ == kCrasher;
@@ -173,7 +173,7 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes its upstreams is stopped after two crashes")
+TEST_CASE("a request that crashes its upstreams is refused after two crashes")
 {
   std::uint64_t retries = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -187,7 +187,7 @@
                                      << "none refused");
 }
 
-TEST_CASE("requests broken by one crash count one crash and run apart")
+TEST_CASE("requests broken by one crash count one crash each and run isolated")
 {
   Quarantine guard;
   ManualClock clock;
@@ -205,9 +205,9 @@
   CHECK_FALSE(guard.MayStart(other, Upstream(2), clock.Now()));
   CHECK(guard.UpstreamsToAvoid(other) == std::vector{ Upstream(2) });
   CHECK(guard.MayStart(other, Upstream(3), clock.Now()));
-  // The same request runs once at a time while it is suspected.
+  // A suspect runs at one upstream at a time.
   CHECK_FALSE(guard.MayStart(kCrasher, Upstream(3), clock.Now()));
-  // Another instance's upstream is left to it at first.
+  // Upstreams assigned to another instance are excluded at first.
   guard.SetOthersUpstreams({ Upstream(3) });
   CHECK_FALSE(guard.MayStart(other, Upstream(3), clock.Now()));
   clock.Advance(std::chrono::seconds(1));
@@ -216,7 +216,8 @@
   CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).isolated_);
 }
 
-TEST_CASE("a quarantine says why, expires, and comes back longer")
+TEST_CASE(
+  "a quarantine names the upstreams, expires, and doubles when repeated")
 {
   Quarantine guard;
   ManualClock clock;
@@ -231,7 +232,7 @@
   CHECK(verdict.refused_);
   CHECK(verdict.reason_.find("u1, u2") != std::string::npos);
   CHECK(verdict.retryAfter_ == std::chrono::minutes(10));
-  // An instance that saw neither crash refuses it as well.
+  // An instance that observed neither crash refuses the request as well.
   Quarantine elsewhere;
   elsewhere.OnUpdate(updates.front(), clock.Now());
   CHECK(elsewhere.Judge(kCrasher, clock.Now()).refused_);
@@ -244,7 +245,7 @@
   CHECK(verdict.retryAfter_ == std::chrono::minutes(20));
 }
 
-TEST_CASE("retries stay a share of successes")
+TEST_CASE("retries are limited to a fraction of successes")
 {
   const ServiceId service{ "s" };
   RetryBudget budget({ 0.2, 3, 5 });
--- a/tests/test_sharing.cpp
+++ b/tests/test_sharing.cpp
@@ -14,7 +14,7 @@
   return TimePoint{ std::chrono::milliseconds(aMillis) };
 }
 
-/// Makes requests of a service with growing tickets.
+/// Creates requests of one service with increasing tickets.
 class Requests
 {
 public:
@@ -43,7 +43,8 @@
   return aVerdict.kind_ == AdmissionVerdict::Kind::Queued;
 }
 
-/// Dispatches the next request and ends it after a while.
+/// Dispatches the next request and completes it after `aTook`.
+/// @returns its class; nothing if none may be dispatched
 std::optional<RequestClass>
 RunNext(Admission& aAdmission, TimePoint aNow, Duration aTook)
 {
@@ -60,7 +61,8 @@
 
 } // namespace
 
-TEST_CASE("live requests go first by deadline, within the limit of a class")
+TEST_CASE(
+  "live requests go first by deadline, up to the queue limit of the class")
 {
   AdmissionSettings settings;
   settings.classes_[0].queue_ = 2;
@@ -82,7 +84,7 @@
   CHECK(admission.Next(kService, {})->ticket_ == late.ticket_);
 }
 
-TEST_CASE("trainers leave the live callers' reserve free")
+TEST_CASE("trainers leave the reserve of live callers free")
 {
   Admission admission;
   Requests make;
@@ -101,7 +103,7 @@
   CHECK(admission.Next(kService, {})->spec_.class_ == RequestClass::Live);
 }
 
-TEST_CASE("background callers go last, but not never")
+TEST_CASE("background requests go last but keep their share")
 {
   Admission admission;
   Requests make;
@@ -122,7 +124,7 @@
   CHECK(background == 2);
 }
 
-TEST_CASE("trainers share by weight whatever the length of their requests")
+TEST_CASE("trainers share by weight regardless of request length")
 {
   AdmissionSettings settings;
   Admission admission(settings);
@@ -133,7 +135,8 @@
   admission.SetWeight(kService, TrainerId{ "c" }, 2);
   for (std::size_t i = 0; i < names.size(); ++i) {
     for (int k = 0; k < 2000; ++k) {
-      // All ask for as much; what they generate differs and is learned.
+      // All request the same number of tokens; the number they generate differs
+      // and is learned.
       CHECK(IsQueued(admission.Enqueue(
         make.Make(RequestClass::Trainer, 1000, kNever, names.at(i)), {})));
     }
@@ -151,7 +154,7 @@
   CHECK(done[2] / all == Approx(0.50).epsilon(0.05));
 }
 
-TEST_CASE("a trainer that was idle has no claim on what it left unused")
+TEST_CASE("a trainer accumulates no credit while it is idle")
 {
   FairQueue queue(FairQueueSettings{});
   std::uint64_t ticket = 0;
@@ -178,7 +181,7 @@
   CHECK(early == 2);
 }
 
-TEST_CASE("a throttled flow waits for the flow that lags, until that is idle")
+TEST_CASE("a throttled flow waits for the lagging flow until that one is idle")
 {
   FairQueueSettings settings;
   settings.throttle_ = 50;
@@ -217,7 +220,8 @@
   CHECK(queue.Next({}) == TicketId{ 4 });
 }
 
-TEST_CASE("what would miss its deadline is refused at once with a true time")
+TEST_CASE(
+  "a request that would miss its deadline is refused with a correct retry time")
 {
   Admission admission;
   Requests make;
@@ -226,7 +230,7 @@
     CHECK(
       IsQueued(admission.Enqueue(make.Make(RequestClass::Live, 10, far), {})));
   }
-  // 10 tokens each 10 ms: 1,000 tokens a second; 100 requests remain.
+  // 10 tokens per 10 ms are 1,000 tokens per second; 100 requests remain.
   for (int i = 0; i < 120; ++i) {
     CHECK(RunNext(admission, At(10 * i), std::chrono::milliseconds(10)));
   }
@@ -244,7 +248,7 @@
   CHECK(refused.retryAfter_ / std::chrono::milliseconds(1) ==
         Approx(410).margin(50));
   CHECK(IsQueued(judged(1200)));
-  // After that time with no other arrivals the same request is taken.
+  // After that time without other arrivals the same request is queued.
   TimePoint later = now;
   while (later < now + refused.retryAfter_) {
     CHECK(RunNext(admission, later, std::chrono::milliseconds(10)));
@@ -255,7 +259,7 @@
     later)));
 }
 
-TEST_CASE("a doomed request is refused before its deadline, not at it")
+TEST_CASE("a request expires as soon as it can no longer meet its deadline")
 {
   Admission admission;
   Requests make;
@@ -274,7 +278,7 @@
   CHECK(admission.size() == 0);
 }
 
-TEST_CASE("the limits of classes are read, and refused where they mean nothing")
+TEST_CASE("class limits are parsed, and rejected where they do not apply")
 {
   const auto merged = MergeRulesFiles(
     { { "a.ini",
