--- a/tests/test_crash_watch.cpp
+++ b/tests/test_crash_watch.cpp
@@ -1,4 +1,5 @@
-/// Which ends of calls are crashes, and what they are held against.
+/// Tests which broken connections count as crashes of an upstream, and to which
+/// requests those crashes are attributed.
 
 #include "marjoramtally/process.hpp"
 
@@ -11,10 +12,10 @@
 
 const Fingerprint kCulprit{ 1 };
 const Fingerprint kInnocent{ 2 };
-/// From a crash to the end of the registration.
-constexpr auto kSilence = 3s;
-/// Longer than reports take to settle.
-constexpr auto kSettled = 500ms;
+/// Time from a crash to the end of the registration.
+constexpr auto kRegistrationLag = 3s;
+/// Exceeds the settling time of crash reports.
+constexpr auto kSettlingTime = 500ms;
 
 UpstreamId
 Upstream(int aIndex)
@@ -58,7 +59,7 @@
 
   void Answer(int aUpstream, Fingerprint aRequest)
   {
-    static_cast<void>(watch_.OnWhole(Upstream(aUpstream), aRequest));
+    static_cast<void>(watch_.OnCompleted(Upstream(aUpstream), aRequest));
   }
 
   CrashWatch::Updates Vanish(int aUpstream)
@@ -66,7 +67,7 @@
     return watch_.OnVanished(Upstream(aUpstream), clock_.Now());
   }
 
-  /// Requests are sent, their upstream dies and its registration ends.
+  /// Sends requests, breaks them by a crash and ends the registration.
   CrashWatch::Updates Crash(int aUpstream, std::vector<Fingerprint> aRequests)
   {
     for (const Fingerprint request : aRequests) {
@@ -76,7 +77,7 @@
     for (const Fingerprint request : aRequests) {
       Break(aUpstream, request);
     }
-    clock_.Advance(kSilence);
+    clock_.Advance(kRegistrationLag);
     return Vanish(aUpstream);
   }
 
@@ -87,14 +88,14 @@
 
   bool RefusedSoon(Fingerprint aRequest)
   {
-    clock_.Advance(kSettled);
+    clock_.Advance(kSettlingTime);
     return Refused(aRequest);
   }
 };
 
 } // namespace
 
-TEST_CASE("crash watch: a request at two upstreams that died is refused")
+TEST_CASE("crash watch: a request in progress at two crashes is refused")
 {
   Fixture fix;
   REQUIRE(fix.Crash(0, { kCulprit }).size() == 1);
@@ -107,7 +108,7 @@
   REQUIRE_FALSE(fix.Refused(kInnocent));
 }
 
-TEST_CASE("crash watch: crashes one after the other within a call count alike")
+TEST_CASE("crash watch: two crashes reported after both breaks count as two")
 {
   Fixture fix;
   for (int i = 0; i < 2; ++i) {
@@ -115,13 +116,13 @@
     fix.clock_.Advance(10ms);
     fix.Break(i, kCulprit);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(0));
   static_cast<void>(fix.Vanish(1));
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: a start time that rises is a crash")
+TEST_CASE("crash watch: a later start time of an upstream is a crash")
 {
   Fixture fix;
   for (int i = 0; i < 2; ++i) {
@@ -134,7 +135,7 @@
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: broken connections alone hold nothing against anybody")
+TEST_CASE("crash watch: broken connections alone cause no suspicion")
 {
   Fixture fix;
   for (int round = 0; round < 20; ++round) {
@@ -147,13 +148,13 @@
   }
 }
 
-TEST_CASE("crash watch: an upstream that leaves as it said has not crashed")
+TEST_CASE("crash watch: an upstream that leaves has not crashed")
 {
   Fixture fix;
   for (int i = 0; i < 3; ++i) {
     static_cast<void>(fix.Register(i, 0, true));
     REQUIRE(fix.Crash(i, { kInnocent }).empty());
-    // One that gave no notice ends its calls after its registration.
+    // An upstream without notice ends its registration before its calls.
     fix.Send(i + 3, kInnocent);
     REQUIRE(fix.Vanish(i + 3).empty());
     fix.Break(i + 3, kInnocent);
@@ -170,26 +171,26 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: a whole answer anywhere clears a request")
+TEST_CASE("crash watch: a complete answer from any upstream clears a request")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
   fix.Send(1, kInnocent);
-  const auto updates = fix.watch_.OnWhole(Upstream(1), kInnocent);
+  const auto updates = fix.watch_.OnCompleted(Upstream(1), kInnocent);
   REQUIRE(updates.size() == 1);
   REQUIRE(updates.front().cleared_);
   static_cast<void>(fix.Crash(2, { kInnocent }));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // Also before the crash is known; then there is nothing to tell.
+  // Also before the crash is detected; then there is no update to send.
   fix.Send(3, kInnocent);
   fix.Break(3, kInnocent);
   fix.Send(4, kInnocent);
   fix.Answer(4, kInnocent);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.Vanish(3).empty());
 }
 
-TEST_CASE("crash watch: an upstream that answers after a break has not died")
+TEST_CASE("crash watch: an upstream that answers after a break has not crashed")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -202,7 +203,8 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: what was sent before a break proves nothing")
+TEST_CASE(
+  "crash watch: the answer to an earlier call does not disprove a crash")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
@@ -210,11 +212,11 @@
   fix.clock_.Advance(10ms);
   fix.Break(0, kCulprit);
   fix.Answer(0, Fingerprint{ 7 });
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.Vanish(0).size() == 1);
 }
 
-TEST_CASE("crash watch: an upstream that renews its entry has not died")
+TEST_CASE("crash watch: an upstream that renews its entry has not crashed")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -222,7 +224,7 @@
   fix.clock_.Advance(2500ms);
   static_cast<void>(fix.Register(0));
   REQUIRE(fix.watch_.Breaks() == 0);
-  // A list shows also what is about to lapse.
+  // A list does not prove it: it also contains entries about to expire.
   fix.Send(1, kCulprit);
   fix.Break(1, kCulprit);
   fix.clock_.Advance(2500ms);
@@ -232,7 +234,7 @@
   REQUIRE(fix.Vanish(1).size() == 1);
 }
 
-TEST_CASE("crash watch: an upstream that comes back had not died")
+TEST_CASE("crash watch: an upstream that registers again has not crashed")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
@@ -240,23 +242,23 @@
   REQUIRE(fix.RefusedSoon(kInnocent));
   static_cast<void>(fix.Register(0));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // As another incarnation it had.
+  // If it returns as another incarnation, it has crashed.
   static_cast<void>(fix.Crash(2, { kCulprit }));
   static_cast<void>(fix.Crash(3, { kCulprit }));
   static_cast<void>(fix.Register(2, 5));
   REQUIRE(fix.RefusedSoon(kCulprit));
 }
 
-TEST_CASE("crash watch: upstreams missing from a whole list have ended")
+TEST_CASE("crash watch: upstreams missing from a complete list have ended")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
   fix.Break(0, kCulprit);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   REQUIRE(fix.watch_.OnList({}, fix.clock_.Now()).size() == 1);
 }
 
-TEST_CASE("crash watch: what had run for long is not blamed")
+TEST_CASE("crash watch: a crash is not attributed to a long-running request")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -265,7 +267,8 @@
   REQUIRE(fix.Vanish(0).empty());
 }
 
-TEST_CASE("crash watch: a reset long before the crash is not of it")
+TEST_CASE(
+  "crash watch: a connection reset long before a crash is not part of it")
 {
   Fixture fix;
   fix.Send(0, kInnocent);
@@ -276,30 +279,31 @@
   REQUIRE(updates.front().fingerprint_ == kCulprit);
 }
 
-TEST_CASE("crash watch: who was twice with the culprit is not refused with it")
+TEST_CASE("crash watch: sharing two crashes with the culprit causes no refusal")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kCulprit, kInnocent }));
   static_cast<void>(fix.Crash(1, { kCulprit, kInnocent }));
   REQUIRE_FALSE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
-  // They run apart, and the third crash tells.
+  // They run isolated, and the third crash identifies the culprit.
   fix.Send(2, kCulprit);
   const std::vector<UpstreamId> other{ Upstream(2) };
-  REQUIRE(fix.watch_.Avoid(kInnocent) == other);
-  REQUIRE(fix.watch_.Avoid(kCulprit).empty());
-  REQUIRE(fix.watch_.Avoid(Fingerprint{ 9 }).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent) == other);
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kCulprit).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(Fingerprint{ 9 }).empty());
   fix.Break(2, kCulprit);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(2));
   REQUIRE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
 }
 
-TEST_CASE("crash watch: one that was at more crashes explains those of others")
+TEST_CASE("crash watch: a request at more crashes explains those of others")
 {
   Fixture fix;
-  // Few upstreams are left, so an innocent dies with the culprit each time.
+  // Few upstreams are left, so an innocent request breaks with the culprit each
+  // time.
   static_cast<void>(fix.Crash(0, { kCulprit }));
   for (int i = 1; i < 5; ++i) {
     static_cast<void>(fix.Crash(i, { kCulprit, kInnocent }));
@@ -308,7 +312,7 @@
   }
 }
 
-TEST_CASE("crash watch: a break past its window sets nobody apart")
+TEST_CASE("crash watch: a break older than its window isolates no request")
 {
   Fixture fix;
   for (const Fingerprint request : { kCulprit, kInnocent }) {
@@ -317,10 +321,10 @@
   }
   fix.clock_.Advance(7s);
   fix.Send(1, kCulprit);
-  REQUIRE(fix.watch_.Avoid(kInnocent).empty());
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent).empty());
 }
 
-TEST_CASE("crash watch: requests broken together run apart before it is known")
+TEST_CASE("crash watch: requests broken together run isolated before detection")
 {
   Fixture fix;
   fix.Send(0, kCulprit);
@@ -329,7 +333,7 @@
   fix.Break(0, kInnocent);
   fix.Send(1, kCulprit);
   const std::vector<UpstreamId> other{ Upstream(1) };
-  REQUIRE(fix.watch_.Avoid(kInnocent) == other);
+  REQUIRE(fix.watch_.UpstreamsToAvoid(kInnocent) == other);
 }
 
 TEST_CASE("crash watch: reports of other instances count, each crash once")
@@ -337,19 +341,20 @@
   Fixture here;
   Fixture there;
   there.clock_.Advance(here.clock_.Now() - there.clock_.Now());
-  const auto tell = [&](const CrashWatch::Updates& aUpdates) {
+  const auto send = [&](const CrashWatch::Updates& aUpdates) {
     for (const SuspicionUpdate& update : aUpdates) {
       static_cast<void>(there.watch_.OnUpdate(update, there.clock_.Now()));
     }
   };
   const auto first = here.Crash(0, { kCulprit });
-  tell(first);
-  tell(first);
-  there.clock_.Advance(kSettled);
+  send(first);
+  send(first);
+  there.clock_.Advance(kSettlingTime);
   REQUIRE_FALSE(there.Refused(kCulprit));
-  tell(here.Crash(1, { kCulprit }));
+  send(here.Crash(1, { kCulprit }));
   REQUIRE(there.RefusedSoon(kCulprit));
-  // Whoever has just started learns from the answer to its first report.
+  // An instance that has just started learns the rest from the answer to its
+  // first report.
   Fixture fresh;
   for (const SuspicionUpdate& update : fresh.Crash(3, { kCulprit })) {
     for (const auto& known :
@@ -369,19 +374,19 @@
     fix.Break(0, kInnocent);
     fix.clock_.Advance(10ms);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(0));
   REQUIRE_FALSE(fix.RefusedSoon(kInnocent));
 }
 
-TEST_CASE("crash watch: further crashes do not put a refusal off")
+TEST_CASE("crash watch: further crashes do not delay a refusal")
 {
   Fixture fix;
   for (int i = 0; i < 6; ++i) {
     fix.Send(i, kCulprit);
     fix.Break(i, kCulprit);
   }
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   for (int i = 0; i < 6; ++i) {
     static_cast<void>(fix.Vanish(i));
     fix.clock_.Advance(100ms);
@@ -400,13 +405,13 @@
   fix.Send(4, kInnocent);
   fix.Break(4, kCulprit);
   fix.Break(4, kInnocent);
-  fix.clock_.Advance(kSilence);
+  fix.clock_.Advance(kRegistrationLag);
   static_cast<void>(fix.Vanish(4));
   REQUIRE(fix.RefusedSoon(kCulprit));
   REQUIRE_FALSE(fix.Refused(kInnocent));
 }
 
-TEST_CASE("crash watch: after a quarantine one more run, one more crash")
+TEST_CASE("crash watch: after a quarantine one more crash renews it")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kCulprit }));
@@ -420,7 +425,7 @@
   REQUIRE(fix.Refused(kCulprit));
 }
 
-TEST_CASE("crash watch: crashes long past are forgotten")
+TEST_CASE("crash watch: old crashes expire")
 {
   Fixture fix;
   static_cast<void>(fix.Crash(0, { kInnocent }));
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -23,10 +23,10 @@
 
 constexpr KeyBounds kBounds{ 3s, 9s };
 
-KeyJudgement
+KeyCheck
 Judge(std::string_view aAuthorization, bool aPublic, Duration aAge)
 {
-  return JudgeKey(
+  return CheckKey(
     CustomerTable(TwoCustomers()), aAuthorization, aPublic, aAge, kBounds);
 }
 
@@ -96,7 +96,7 @@
   {
     customers.push_back({ CustomerId{ "north" }, {}, {} });
     REQUIRE(CheckCustomers(customers) ==
-            std::vector<std::string>{ "customer north stands twice" });
+            std::vector<std::string>{ "customer north is listed twice" });
   }
   SECTION("a key that stands twice at one customer is one key")
   {
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -17,17 +17,17 @@
   return UpstreamId{ "u" + std::to_string(aIndex) };
 }
 
-/// What the run of a fleet showed.
+/// Counts of one simulated run.
 struct FleetResult
 {
   std::uint64_t crashes_ = 0;
   std::uint64_t innocentsRefused_ = 0;
   std::uint64_t innocentRetries_ = 0;
-  std::uint64_t mostRetries_ = 0;
+  std::uint64_t maxRetries_ = 0;
 };
 
-/// Instances share suspicions; upstreams run up to 8 requests at a time
-/// and die with all of them when the crasher is served.
+/// Simulates instances that exchange suspicions, and upstreams that run up to
+/// `kSlots` requests at once and crash when one of them is the crasher.
 class Fleet
 {
 public:
@@ -41,7 +41,7 @@
           others.insert(Upstream(j));
         }
       }
-      instances_.at(i).SetOthers(std::move(others));
+      instances_.at(i).SetOthersUpstreams(std::move(others));
     }
   }
 
@@ -70,7 +70,7 @@
       waiting_.push_back({ Fingerprint{ ++lastFingerprint_ },
                            static_cast<std::size_t>(random_.Below(3)) });
     }
-    // The caller of the crasher sends it again each time.
+    // The caller of the crasher always retries it.
     const bool absent = std::none_of(
       waiting_.begin(), waiting_.end(), [](const Request& aRequest) {
         return aRequest.fingerprint_ == kCrasher;
@@ -134,7 +134,7 @@
     if (aRequest.fingerprint_ != kCrasher) {
       ++result_.innocentRetries_;
       ++aRequest.retries_;
-      result_.mostRetries_ = std::max(result_.mostRetries_, aRequest.retries_);
+      result_.maxRetries_ = std::max(result_.maxRetries_, aRequest.retries_);
       waiting_.push_front(aRequest);
     }
   }
@@ -143,7 +143,7 @@
   {
     Share(aRequest,
           instances_.at(aRequest.instance_)
-            .OnWhole(Upstream(aUpstream), aRequest.fingerprint_));
+            .OnCompleted(Upstream(aUpstream), aRequest.fingerprint_));
   }
 
   void Share(const Request& aRequest,
@@ -173,21 +173,21 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes its upstreams is stopped after two crashes")
+TEST_CASE("a request that crashes its upstreams is refused after two crashes")
 {
   std::uint64_t retries = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     const FleetResult result = Fleet(seed).Run();
     CHECK(result.crashes_ == 2);
     CHECK(result.innocentsRefused_ == 0);
-    CHECK(result.mostRetries_ <= 2);
+    CHECK(result.maxRetries_ <= 2);
     retries += result.innocentRetries_;
   }
   WARN("20 fleets: 2 crashes each, " << retries << " innocents retried, "
                                      << "none refused");
 }
 
-TEST_CASE("requests broken by one crash count one crash and run apart")
+TEST_CASE("requests broken by one crash count one crash each and run isolated")
 {
   Quarantine guard;
   ManualClock clock;
@@ -199,24 +199,25 @@
   for (const Fingerprint fingerprint : { kCrasher, other }) {
     static_cast<void>(guard.OnBroken(Upstream(1), fingerprint, clock.Now()));
     static_cast<void>(guard.OnBroken(Upstream(1), fingerprint, clock.Now()));
-    CHECK(guard.Judge(fingerprint, clock.Now()).apart_);
+    CHECK(guard.Judge(fingerprint, clock.Now()).isolated_);
   }
   guard.OnSent(Upstream(2), kCrasher, clock.Now());
   CHECK_FALSE(guard.MayStart(other, Upstream(2), clock.Now()));
-  CHECK(guard.Avoid(other) == std::vector{ Upstream(2) });
+  CHECK(guard.UpstreamsToAvoid(other) == std::vector{ Upstream(2) });
   CHECK(guard.MayStart(other, Upstream(3), clock.Now()));
-  // The same request runs once at a time while it is suspected.
+  // A suspect runs at one upstream at a time.
   CHECK_FALSE(guard.MayStart(kCrasher, Upstream(3), clock.Now()));
-  // Another instance's upstream is left to it at first.
-  guard.SetOthers({ Upstream(3) });
+  // Upstreams assigned to another instance are excluded at first.
+  guard.SetOthersUpstreams({ Upstream(3) });
   CHECK_FALSE(guard.MayStart(other, Upstream(3), clock.Now()));
   clock.Advance(std::chrono::seconds(1));
   CHECK(guard.MayStart(other, Upstream(3), clock.Now()));
-  CHECK(guard.OnWhole(Upstream(2), kCrasher).front().cleared_);
-  CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).apart_);
+  CHECK(guard.OnCompleted(Upstream(2), kCrasher).front().cleared_);
+  CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).isolated_);
 }
 
-TEST_CASE("a quarantine says why, expires, and comes back longer")
+TEST_CASE(
+  "a quarantine names the upstreams, expires, and doubles when repeated")
 {
   Quarantine guard;
   ManualClock clock;
@@ -231,20 +232,20 @@
   CHECK(verdict.refused_);
   CHECK(verdict.reason_.find("u1, u2") != std::string::npos);
   CHECK(verdict.retryAfter_ == std::chrono::minutes(10));
-  // An instance that saw neither crash refuses it as well.
+  // An instance that observed neither crash refuses the request as well.
   Quarantine elsewhere;
   elsewhere.OnUpdate(updates.front(), clock.Now());
   CHECK(elsewhere.Judge(kCrasher, clock.Now()).refused_);
   clock.Advance(std::chrono::minutes(11));
   CHECK_FALSE(guard.Judge(kCrasher, clock.Now()).refused_);
-  CHECK(guard.Judge(kCrasher, clock.Now()).apart_);
+  CHECK(guard.Judge(kCrasher, clock.Now()).isolated_);
   static_cast<void>(crash(3));
   verdict = guard.Judge(kCrasher, clock.Now());
   CHECK(verdict.refused_);
   CHECK(verdict.retryAfter_ == std::chrono::minutes(20));
 }
 
-TEST_CASE("retries stay a share of successes")
+TEST_CASE("retries are limited to a fraction of successes")
 {
   const ServiceId service{ "s" };
   RetryBudget budget({ 0.2, 3, 5 });
