--- a/src/version/job_ledger.cpp
+++ b/src/version/job_ledger.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view kNoError;
 /// Empty answers after which a text counts as complete.
 constexpr std::uint32_t kMinEmptyContinuations = 2;
-constexpr std::string_view kRestoredError = "abandoned by an earlier owner";
+constexpr std::string_view kRestoredError = "given up by an earlier owner";
 
 } // namespace
 
@@ -205,7 +205,7 @@
 void
 JobLedger::OnPermanentFailure(ItemIndex aItem, TimePoint aNow)
 {
-  Finish(aItem, "its upstream reported a permanent failure", aNow);
+  Finish(aItem, "its upstream says that it can never be done", aNow);
 }
 
 void
@@ -267,7 +267,7 @@
     return;
   }
   for (ItemIndex i = 0; i < items_.size(); ++i) {
-    Finish(i, "its time limit expired", aNow);
+    Finish(i, "its time was over", aNow);
   }
 }
 
