--- a/include/marjoramtally/connection/job_messages.hpp
+++ b/include/marjoramtally/connection/job_messages.hpp
@@ -63,7 +63,7 @@
 [[nodiscard]] Result<JobHandOn>
 DecodeJobHandOn(std::string_view aBytes);
 
-/// @param aEnd the number of an `AcceptEnd`
+/// @param aEnd the number of an `AcceptOutcome`
 [[nodiscard]] std::string
 EncodeJobHandOnAnswer(std::uint8_t aEnd);
 [[nodiscard]] Result<std::uint8_t>
--- a/src/connection/jobs.capnp
+++ b/src/connection/jobs.capnp
@@ -31,7 +31,7 @@
 }
 
 struct JobHandOnAnswer {
-  # AcceptEnd.
+  # AcceptOutcome.
   end @0 :UInt8;
 }
 
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -27,7 +27,7 @@
 LeasedKeyOptions
 LifeOptions(const GatewayContext& aHost)
 {
-  return { job_keys::Life(aHost.Incarnation()),
+  return { job_keys::Liveness(aHost.Incarnation()),
            WriteLivenessRecord({ ZoneId{ aHost.Settings().zone_ },
                                  aHost.Settings().address_ + ":" +
                                    std::to_string(aHost.Settings().rpcPort_) }),
@@ -122,7 +122,7 @@
 {
   FollowConfig();
   FollowUpstreams();
-  runner_.onOwning_ = [this](bool aOwning) {
+  runner_.onUnfinishedChanged_ = [this](bool aOwning) {
     life_.SetTtl(aOwning ? host_.Settings().leaseTtl_ : kIdleTtl);
   };
   life_.Start();
--- a/src/programs/gatewayd/job_api.cpp
+++ b/src/programs/gatewayd/job_api.cpp
@@ -11,19 +11,19 @@
 /// Jobs are given back this long before the forced end: the process ends by
 /// itself 0.7 s before it, and the store may answer only at a second attempt,
 /// of 1.2 s each.
-constexpr auto kHandOverTime = std::chrono::milliseconds(3200);
+constexpr auto kHandoverMargin = std::chrono::milliseconds(3200);
 /// A job's owner record that could not be loaded is tried again.
-constexpr auto kLoadAgain = std::chrono::milliseconds(300);
+constexpr auto kLoadRetryDelay = std::chrono::milliseconds(300);
 /// So is a job of which what was read makes no sense, a tenth as often: what is
 /// stored seldom changes, and each look is some priced calls.
-constexpr auto kReadAgain = std::chrono::seconds(3);
+constexpr auto kUnreadableRetryDelay = std::chrono::seconds(3);
 
 /// @returns whether a customer may ask about a job; one that was accepted while
 /// requests needed no keys is anybody's
 bool
-MayAsk(const CustomerId& aAsker, const CustomerId& aOwner)
+MayAccess(const CustomerId& aCustomer, const CustomerId& aOwner)
 {
-  return aAsker.Get().empty() || aOwner.Get().empty() || aAsker == aOwner;
+  return aCustomer.Get().empty() || aOwner.Get().empty() || aCustomer == aOwner;
 }
 
 /// @returns whose job an owner record is of; nobody's if it cannot be read,
@@ -58,19 +58,19 @@
     totals_[aJob] = aItems;
   };
   directory_.onOwner_ = [this](const JobId& aJob, const KnownJob& aKnown) {
-    TakeOwner(aJob, aKnown);
+    OnOwnerChanged(aJob, aKnown);
   };
   host_.Peers().Serve(RpcTopic::Job,
                       [this](const RpcCall& aCall, const RpcDone& aDone) {
-                        ServePeer(aCall, aDone);
+                        ServeResults(aCall, aDone);
                       });
   host_.Peers().Serve(RpcTopic::JobBody,
                       [this](const RpcCall& aCall, const RpcDone& aDone) {
                         ServeBody(aCall, aDone);
                       });
   directory_.onEnd_ = [this](const JobId& aJob) { runner_.End(aJob); };
-  runner_.onListed_ = [this](const JobId& aJob) { Wake(aJob); };
-  runner_.onDropped_ = [this](const JobId& aJob) { Wake(aJob); };
+  runner_.onListed_ = [this](const JobId& aJob) { NotifyWaiters(aJob); };
+  runner_.onDropped_ = [this](const JobId& aJob) { NotifyWaiters(aJob); };
 }
 
 std::string
@@ -86,21 +86,21 @@
 {
   intake_.Stop();
   host_.Timers().After(
-    std::max<Duration>(aGrace - kHandOverTime, Duration{ 0 }),
-    [this] { runner_.GiveBack(); });
+    std::max<Duration>(aGrace - kHandoverMargin, Duration{ 0 }),
+    [this] { runner_.ReleaseAll(); });
 }
 
 bool
 JobApi::Idle()
 {
   if (!runner_.HasOpen()) {
-    runner_.GiveBack();
+    runner_.ReleaseAll();
   }
   return runner_.Idle();
 }
 
 void
-JobApi::TakeOwner(const JobId& aJob, const KnownJob& aKnown)
+JobApi::OnOwnerChanged(const JobId& aJob, const KnownJob& aKnown)
 {
   const bool mine = aKnown.record_.owner_ == host_.Incarnation();
   totals_.erase(aJob);
@@ -114,14 +114,14 @@
   if (mine && intake_.Open()) {
     LoadOwned(aJob, aKnown.fence_);
   } else if (mine && !loading_.contains(aJob)) {
-    HandBack(aJob, aKnown);
+    ReleaseOwnership(aJob, aKnown);
   }
 }
 
 /// A job that became ours after the stop began is started by nobody while we
 /// live: its next owner would wait for our end, 7 s at most.
 void
-JobApi::HandBack(const JobId& aJob, const KnownJob& aKnown)
+JobApi::ReleaseOwnership(const JobId& aJob, const KnownJob& aKnown)
 {
   LogEvent(LogLevel::Info,
            "job_handed_back",
@@ -158,7 +158,7 @@
       return;
     }
     if (!intake_.Open()) {
-      HandBack(aJob, *known);
+      ReleaseOwnership(aJob, *known);
       return;
     }
     if (known->fence_ != aFence) {
@@ -177,7 +177,8 @@
     if (!spec) {
       // We are its owner, so that nobody else would look at it.
       const bool read = spec.error().kind_ == ErrorKind::BadInput;
-      host_.Timers().After(read ? Duration{ kReadAgain } : kLoadAgain,
+      host_.Timers().After(read ? Duration{ kUnreadableRetryDelay }
+                                : kLoadRetryDelay,
                            [this, aJob, aFence] { LoadOwned(aJob, aFence); });
       return;
     }
@@ -198,24 +199,24 @@
               const HttpRequest& aRequest,
               HttpReplyPtr aReply)
 {
-  if (!GoodJobId(aQuery.job_)) {
+  if (!IsValidJobId(aQuery.job_)) {
     aReply->Send(NoSuchJob());
     return;
   }
   switch (aQuery.verb_) {
     case JobQuery::Verb::Read: {
-      constexpr std::uint64_t kLongestWaitMillis = 1000;
+      constexpr std::uint64_t kMaxWaitMillis = 1000;
       const auto wait =
         FindHeader(aRequest.headers_, host_.Formats().Names().wait_);
       const auto millis =
         ParseNumber(wait.value_or("0"), 0, UINT32_MAX).value_or(0);
       Read(aQuery,
-           std::chrono::milliseconds(std::min(millis, kLongestWaitMillis)),
+           std::chrono::milliseconds(std::min(millis, kMaxWaitMillis)),
            std::move(aReply));
       return;
     }
     case JobQuery::Verb::Body:
-      Body(aQuery, std::move(aReply));
+      ReadBody(aQuery, std::move(aReply));
       return;
     case JobQuery::Verb::End:
       End(aQuery, std::move(aReply));
@@ -233,7 +234,7 @@
   if (known != nullptr || runner_.Owns(job)) {
     const CustomerId& owner =
       known != nullptr ? known->record_.customer_ : runner_.CustomerOf(job);
-    if (MayAsk(aQuery.customer_, owner)) {
+    if (MayAccess(aQuery.customer_, owner)) {
       aKnown();
     } else {
       aReply->Send(NoSuchJob());
@@ -246,12 +247,12 @@
       const Result<std::optional<StoreRecord>>& aOwner) {
       if (!aOwner) {
         aReply->Send(
-          RefusedResponse("the store cannot be asked", kJobComeBack));
+          RefusedResponse("the store cannot be asked", kJobRetryAfter));
       } else if (!aOwner.value() ||
-                 !MayAsk(aQuery.customer_, CustomerIn(*aOwner.value()))) {
+                 !MayAccess(aQuery.customer_, CustomerIn(*aOwner.value()))) {
         aReply->Send(NoSuchJob());
       } else {
-        NoteTotal(aQuery.job_, *aOwner.value());
+        RecordTotal(aQuery.job_, *aOwner.value());
         found();
       }
     });
@@ -260,7 +261,7 @@
 /// A record that cannot be read still says that the job exists; its total is
 /// unknown then, which is not a total of 0.
 void
-JobApi::NoteTotal(const JobId& aJob, const StoreRecord& aOwner)
+JobApi::RecordTotal(const JobId& aJob, const StoreRecord& aOwner)
 {
   const auto record = ReadOwnerRecord(aOwner.value_);
   if (record) {
@@ -308,7 +309,8 @@
                { { "job", job.Get() },
                  { "outcome", aWritten ? "written" : "not known" } });
       if (!aWritten) {
-        aReply->Send(RefusedResponse("the store did not answer", kJobComeBack));
+        aReply->Send(
+          RefusedResponse("the store did not answer", kJobRetryAfter));
         return;
       }
       runner_.End(job);
--- a/src/programs/gatewayd/job_api.hpp
+++ b/src/programs/gatewayd/job_api.hpp
@@ -48,14 +48,14 @@
     LoopTimerId timer_ = 0;
   };
 
-  void TakeOwner(const JobId& aJob, const KnownJob& aKnown);
+  void OnOwnerChanged(const JobId& aJob, const KnownJob& aKnown);
   /// Makes nobody the owner of a job that this process does not start.
-  void HandBack(const JobId& aJob, const KnownJob& aKnown);
+  void ReleaseOwnership(const JobId& aJob, const KnownJob& aKnown);
   void LoadOwned(const JobId& aJob, FencingNumber aFence);
   /// @returns where a job's owner is called; empty if that is not known
   [[nodiscard]] std::string OwnerAddress(const JobId& aJob) const;
   /// Answers another process about a job of ours.
-  void ServePeer(const RpcCall& aCall, const RpcDone& aDone);
+  void ServeResults(const RpcCall& aCall, const RpcDone& aDone);
   void Read(const JobQuery& aQuery, Duration aWait, HttpReplyPtr aReply);
   /// Reads from the ledger of a job of ours.
   void ReadOwned(const JobId& aJob,
@@ -72,24 +72,24 @@
                 const HttpReplyPtr& aReply);
   /// @returns the number of a job's items; nothing if that is not known
   [[nodiscard]] std::optional<std::uint64_t> TotalOf(const JobId& aJob) const;
-  void NoteTotal(const JobId& aJob, const StoreRecord& aOwner);
+  void RecordTotal(const JobId& aJob, const StoreRecord& aOwner);
   /// Answers once the job of ours has a result at the position, or after the
   /// wait.
   void WaitFor(const JobId& aJob,
                std::uint64_t aAfter,
                Duration aWait,
                std::function<void()> aAnswer);
-  void EndWait(const JobId& aJob, std::uint64_t aWaiter);
-  void AnswerPeer(const JobId& aJob,
-                  std::uint64_t aAfter,
-                  const RpcDone& aDone) const;
-  void Wake(const JobId& aJob);
+  void OnWaitTimeout(const JobId& aJob, std::uint64_t aWaiter);
+  void SendResultsToPeer(const JobId& aJob,
+                         std::uint64_t aAfter,
+                         const RpcDone& aDone) const;
+  void NotifyWaiters(const JobId& aJob);
   /// @returns the items of a stored submission; an error, which is logged, if
   /// it cannot be read or is not whole
   [[nodiscard]] Result<JobSpec> ReadSpec(
     const JobId& aJob,
     const JobSubmissionRecord& aStored) const;
-  void Body(const JobQuery& aQuery, HttpReplyPtr aReply);
+  void ReadBody(const JobQuery& aQuery, HttpReplyPtr aReply);
   void BodyFromOwner(const JobQuery& aQuery,
                      const std::string& aOwner,
                      const HttpReplyPtr& aReply);
--- a/src/programs/gatewayd/job_api_reads.cpp
+++ b/src/programs/gatewayd/job_api_reads.cpp
@@ -11,10 +11,10 @@
 
 /// A page of results holds at most so many bytes of text; the platform's
 /// limit is 1 MB for the whole body.
-constexpr std::size_t kPageBytes = 800'000;
+constexpr std::size_t kMaxPageBytes = 800'000;
 /// A read of another process's job that finds nothing is answered after one
 /// more reading, which waits so long for a result.
-constexpr auto kRemoteWait = std::chrono::milliseconds(800);
+constexpr auto kMaxRemoteWait = std::chrono::milliseconds(800);
 /// An owner that does not tell a body in this time is passed over.
 constexpr auto kBodyTimeout = std::chrono::milliseconds(300);
 
@@ -79,11 +79,11 @@
     // A caller would take a page with a wrong total for the truth.
     LogEvent(LogLevel::Warn, "job_total_unknown", { { "job", aJob.Get() } });
     aReply->Send(
-      RefusedResponse("the job's record cannot be read", kJobComeBack));
+      RefusedResponse("the job's record cannot be read", kJobRetryAfter));
     return;
   }
   const JobLedger* ledger = runner_.Find(aJob);
-  const std::vector<JobResult>& remote = remote_.Of(aJob);
+  const std::vector<JobResult>& remote = remote_.ResultsOf(aJob);
   const std::size_t count =
     ledger != nullptr ? ledger->Listed().size() : remote.size();
   ResultPage page;
@@ -95,7 +95,7 @@
                          ? ledger->ResultOf(ledger->Listed()[page.next_])
                          : remote[page.next_];
     bytes += result.text_.size();
-    if (bytes > kPageBytes && !page.results_.empty()) {
+    if (bytes > kMaxPageBytes && !page.results_.empty()) {
       break;
     }
     page.results_.push_back(std::move(result));
@@ -131,48 +131,51 @@
     if (aRead) {
       SendPage(aJob, aAfter, aReply);
     } else {
-      aReply->Send(RefusedResponse("the store cannot be asked", kJobComeBack));
+      aReply->Send(
+        RefusedResponse("the store cannot be asked", kJobRetryAfter));
     }
   };
-  remote_.Refresh(
-    aJob,
-    OwnerAddress(aJob),
-    {},
-    [this, aJob, aAfter, aWait, send](bool aRead) {
-      if (!aRead || remote_.Of(aJob).size() > aAfter || aWait.count() == 0) {
-        send(aRead);
-        return;
-      }
-      const Duration wait = std::min<Duration>(aWait, kRemoteWait);
-      const std::string owner = OwnerAddress(aJob);
-      if (!owner.empty()) {
-        remote_.Refresh(aJob, owner, wait, send);
-        return;
-      }
-      host_.Timers().After(
-        wait, [this, aJob, send] { remote_.Refresh(aJob, "", {}, send); });
-    });
+  remote_.Refresh(aJob,
+                  OwnerAddress(aJob),
+                  {},
+                  [this, aJob, aAfter, aWait, send](bool aRead) {
+                    if (!aRead || remote_.ResultsOf(aJob).size() > aAfter ||
+                        aWait.count() == 0) {
+                      send(aRead);
+                      return;
+                    }
+                    const Duration wait =
+                      std::min<Duration>(aWait, kMaxRemoteWait);
+                    const std::string owner = OwnerAddress(aJob);
+                    if (!owner.empty()) {
+                      remote_.Refresh(aJob, owner, wait, send);
+                      return;
+                    }
+                    host_.Timers().After(wait, [this, aJob, send] {
+                      remote_.Refresh(aJob, "", {}, send);
+                    });
+                  });
 }
 
 void
-JobApi::ServePeer(const RpcCall& aCall, const RpcDone& aDone)
+JobApi::ServeResults(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto ask = DecodeJobAsk(aCall.body_);
-  const JobId job{ ask ? ask.value().job_ : std::string() };
-  if (!ask || !runner_.Owns(job)) {
+  const auto request = DecodeJobAsk(aCall.body_);
+  const JobId job{ request ? request.value().job_ : std::string() };
+  if (!request || !runner_.Owns(job)) {
     aDone(Error{ ErrorKind::NotFound, "this process does not own the job" });
     return;
   }
-  const std::uint64_t after = ask.value().after_;
-  WaitFor(job, after, ask.value().wait_, [this, job, after, aDone] {
-    AnswerPeer(job, after, aDone);
+  const std::uint64_t after = request.value().after_;
+  WaitFor(job, after, request.value().wait_, [this, job, after, aDone] {
+    SendResultsToPeer(job, after, aDone);
   });
 }
 
 void
-JobApi::AnswerPeer(const JobId& aJob,
-                   std::uint64_t aAfter,
-                   const RpcDone& aDone) const
+JobApi::SendResultsToPeer(const JobId& aJob,
+                          std::uint64_t aAfter,
+                          const RpcDone& aDone) const
 {
   const JobLedger* ledger = runner_.Find(aJob);
   if (ledger == nullptr) {
@@ -198,12 +201,12 @@
   }
   const std::uint64_t id = ++lastWaiter_;
   const LoopTimerId timer =
-    host_.Timers().After(aWait, [this, aJob, id] { EndWait(aJob, id); });
+    host_.Timers().After(aWait, [this, aJob, id] { OnWaitTimeout(aJob, id); });
   waiters_[aJob].push_back({ id, aAfter, std::move(aAnswer), timer });
 }
 
 void
-JobApi::EndWait(const JobId& aJob, std::uint64_t aWaiter)
+JobApi::OnWaitTimeout(const JobId& aJob, std::uint64_t aWaiter)
 {
   const auto it = waiters_.find(aJob);
   if (it == waiters_.end()) {
@@ -222,7 +225,7 @@
 }
 
 void
-JobApi::Wake(const JobId& aJob)
+JobApi::NotifyWaiters(const JobId& aJob)
 {
   auto node = waiters_.extract(aJob);
   if (node.empty()) {
@@ -240,7 +243,7 @@
 }
 
 void
-JobApi::Body(const JobQuery& aQuery, HttpReplyPtr aReply)
+JobApi::ReadBody(const JobQuery& aQuery, HttpReplyPtr aReply)
 {
   if (const JobLedger* ledger = runner_.Find(aQuery.job_)) {
     SendBody(*aReply, FindBody(ledger->Spec(), aQuery.item_));
@@ -295,7 +298,7 @@
         "item_not_read",
         { { "job", aQuery.job_.Get() }, { "error", spec.error().message_ } });
       aReply->Send(
-        RefusedResponse("the submission cannot be read", kJobComeBack));
+        RefusedResponse("the submission cannot be read", kJobRetryAfter));
     };
   store_.LoadSubmission(aQuery.job_, take);
 }
@@ -303,15 +306,15 @@
 void
 JobApi::ServeBody(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto ask = DecodeJobBodyAsk(aCall.body_);
+  const auto request = DecodeJobBodyAsk(aCall.body_);
   const JobLedger* ledger =
-    ask ? runner_.Find(JobId{ ask.value().job_ }) : nullptr;
+    request ? runner_.Find(JobId{ request.value().job_ }) : nullptr;
   if (ledger == nullptr) {
     aDone(Error{ ErrorKind::NotFound, "this process does not own the job" });
     return;
   }
-  aDone(
-    EncodeJobBodyAnswer(FindBody(ledger->Spec(), ItemId{ ask.value().item_ })));
+  aDone(EncodeJobBodyAnswer(
+    FindBody(ledger->Spec(), ItemId{ request.value().item_ })));
 }
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/job_directory.cpp
+++ b/src/programs/gatewayd/job_directory.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// A claim that got no answer is tried again after this time.
-constexpr auto kClaimAgain = std::chrono::milliseconds(500);
+constexpr auto kClaimRetryDelay = std::chrono::milliseconds(500);
 /// How often old jobs are looked for.
-constexpr auto kRemovePause = std::chrono::seconds(30);
+constexpr auto kRemovalInterval = std::chrono::seconds(30);
 /// Beyond the time for which results are to be kept: clocks differ, and jobs
 /// are read a while after they were submitted.
-constexpr auto kRemoveSlack = std::chrono::seconds(60);
+constexpr auto kRemovalMargin = std::chrono::seconds(60);
 
 } // namespace
 
@@ -23,9 +23,11 @@
   , takeover_(aHost.Incarnation())
   , owners_(aHost.Incarnation())
 {
-  follower_.onAll_ = [this](const StoreRange& aRange) { TakeAll(aRange); };
+  follower_.onAll_ = [this](const StoreRange& aRange) {
+    ApplySnapshot(aRange);
+  };
   follower_.onChange_ = [this](const StoreEvent& aEvent) {
-    TakeChange(aEvent);
+    ApplyChange(aEvent);
   };
   follower_.onSettled_ = [this] { ClaimDue(); };
 }
@@ -34,7 +36,7 @@
 JobDirectory::Start(Duration aWatchAfter)
 {
   follower_.Start(aWatchAfter);
-  host_.Timers().After(kRemovePause, [this] { RemoveOld(); });
+  host_.Timers().After(kRemovalInterval, [this] { RemoveExpired(); });
 }
 
 std::string
@@ -52,34 +54,34 @@
 }
 
 bool
-JobDirectory::IsNewest(const JobId& aJob, FencingNumber aFence) const
+JobDirectory::IsCurrent(const JobId& aJob, FencingNumber aFence) const
 {
   const KnownJob* known = Find(aJob);
   const bool later = known != nullptr && known->fence_ > aFence;
-  return !later && !endsEarly_.contains(aJob);
+  return !later && !endedJobs_.contains(aJob);
 }
 
 void
-JobDirectory::TakeAll(const StoreRange& aRange)
+JobDirectory::ApplySnapshot(const StoreRange& aRange)
 {
   std::set<std::string> seen;
   for (const StoreRecord& record : aRange.records_) {
     seen.insert(record.key_);
-    TakeRecord(record);
+    ApplyRecord(record);
   }
-  const std::set<std::string> lives = lives_;
-  for (const std::string& key : lives) {
+  const std::set<std::string> livenessKeys = livenessKeys_;
+  for (const std::string& key : livenessKeys) {
     if (!seen.contains(key)) {
-      TakeRemoval(key);
+      ApplyRemoval(key);
     }
   }
-  ForgetMissing(seen, aRange.revision_);
+  RemoveMissing(seen, aRange.revision_);
 }
 
 /// Jobs whose record was written after the reading's revision are kept: the
 /// reading cannot know them.
 void
-JobDirectory::ForgetMissing(const std::set<std::string>& aSeen,
+JobDirectory::RemoveMissing(const std::set<std::string>& aSeen,
                             std::uint64_t aRevision)
 {
   std::vector<JobId> missing;
@@ -94,63 +96,63 @@
       LogLevel::Info,
       "job_vanished",
       { { "job", job.Get() }, { "revision", std::to_string(aRevision) } });
-    TakeRemoval(job_keys::Owner(job));
+    ApplyRemoval(job_keys::Owner(job));
   }
 }
 
 void
-JobDirectory::TakeChange(const StoreEvent& aEvent)
+JobDirectory::ApplyChange(const StoreEvent& aEvent)
 {
   if (aEvent.deleted_) {
-    TakeRemoval(aEvent.record_.key_);
+    ApplyRemoval(aEvent.record_.key_);
   } else {
-    TakeRecord(aEvent.record_);
+    ApplyRecord(aEvent.record_);
   }
 }
 
 void
-JobDirectory::TakeRecord(const StoreRecord& aRecord)
+JobDirectory::ApplyRecord(const StoreRecord& aRecord)
 {
   const std::string_view key = aRecord.key_;
-  const std::string_view lives = job_keys::kLives;
+  const std::string_view liveness = job_keys::kLiveness;
   const std::string_view owners = job_keys::kOwners;
   const std::string_view ends = job_keys::kEnds;
-  if (key.starts_with(lives)) {
-    TakeLife(std::string(key.substr(lives.size())), aRecord);
+  if (key.starts_with(liveness)) {
+    ApplyLiveness(std::string(key.substr(liveness.size())), aRecord);
   } else if (key.starts_with(owners)) {
-    TakeOwner(JobId{ std::string(key.substr(owners.size())) }, aRecord);
+    ApplyOwner(JobId{ std::string(key.substr(owners.size())) }, aRecord);
   } else if (key.starts_with(ends)) {
-    TakeEnd(JobId{ std::string(key.substr(ends.size())) });
+    ApplyEnd(JobId{ std::string(key.substr(ends.size())) });
   }
 }
 
 void
-JobDirectory::TakeLife(const std::string& aIncarnation,
-                       const StoreRecord& aRecord)
+JobDirectory::ApplyLiveness(const std::string& aIncarnation,
+                            const StoreRecord& aRecord)
 {
-  lives_.insert(aRecord.key_);
+  livenessKeys_.insert(aRecord.key_);
   takeover_.OnAlive(aIncarnation, host_.Now());
-  auto life = ReadLivenessRecord(aRecord.value_);
-  if (life) {
-    addresses_[aIncarnation] = life.value().address_;
-    owners_.OnAlive(aIncarnation, life.value().address_);
-    host_.Relays().OnAlive(aIncarnation, std::move(life).value());
+  auto record = ReadLivenessRecord(aRecord.value_);
+  if (record) {
+    addresses_[aIncarnation] = record.value().address_;
+    owners_.OnAlive(aIncarnation, record.value().address_);
+    host_.Relays().OnAlive(aIncarnation, std::move(record).value());
   } else {
     LogEvent(LogLevel::Error,
              "record_unreadable",
-             { { "key", aRecord.key_ }, { "error", life.error().message_ } });
+             { { "key", aRecord.key_ }, { "error", record.error().message_ } });
   }
 }
 
 void
-JobDirectory::TakeRemoval(const std::string& aKey)
+JobDirectory::ApplyRemoval(const std::string& aKey)
 {
   const std::string_view key = aKey;
-  const std::string_view lives = job_keys::kLives;
+  const std::string_view liveness = job_keys::kLiveness;
   const std::string_view owners = job_keys::kOwners;
-  if (key.starts_with(lives)) {
-    lives_.erase(aKey);
-    const std::string incarnation(key.substr(lives.size()));
+  if (key.starts_with(liveness)) {
+    livenessKeys_.erase(aKey);
+    const std::string incarnation(key.substr(liveness.size()));
     takeover_.OnGone(incarnation, host_.Now());
     host_.Relays().OnGone(incarnation);
     owners_.OnGone(incarnation);
@@ -159,12 +161,12 @@
     const JobId job{ std::string(key.substr(owners.size())) };
     takeover_.OnEnded(job);
     jobs_.erase(job);
-    endsEarly_.erase(job);
+    endedJobs_.erase(job);
   }
 }
 
 void
-JobDirectory::TakeOwner(const JobId& aJob, const StoreRecord& aRecord)
+JobDirectory::ApplyOwner(const JobId& aJob, const StoreRecord& aRecord)
 {
   const FencingNumber fence{ aRecord.modRevision_ };
   const auto present = jobs_.find(aJob);
@@ -183,7 +185,7 @@
   KnownJob& known = jobs_[aJob];
   known.record_ = std::move(record).value();
   known.fence_ = fence;
-  known.ended_ = known.ended_ || endsEarly_.contains(aJob);
+  known.ended_ = known.ended_ || endedJobs_.contains(aJob);
   // Nobody runs an ended job, but a former owner may hold an older part of it
   // and must not answer from that; a whole reading tells of the end first.
   const bool ours = known.record_.owner_ == host_.Incarnation();
@@ -199,9 +201,9 @@
 }
 
 void
-JobDirectory::TakeEnd(const JobId& aJob)
+JobDirectory::ApplyEnd(const JobId& aJob)
 {
-  endsEarly_.insert(aJob);
+  endedJobs_.insert(aJob);
   takeover_.OnEnded(aJob);
   const auto it = jobs_.find(aJob);
   if (it != jobs_.end()) {
@@ -213,18 +215,18 @@
 }
 
 void
-JobDirectory::RemoveOld()
+JobDirectory::RemoveExpired()
 {
   const std::int64_t now = host_.WallMillis();
   for (const auto& [job, known] : jobs_) {
     const std::chrono::milliseconds age(now - known.record_.acceptedMillis_);
     if (known.ended_ && takeover_.RanksFirst(job) &&
-        age > host_.Settings().statusTime_ + kRemoveSlack) {
+        age > host_.Settings().statusTime_ + kRemovalMargin) {
       LogEvent(LogLevel::Info, "job_removed", { { "job", job.Get() } });
       store_.Remove(job, known.record_.total_);
     }
   }
-  host_.Timers().After(kRemovePause, [this] { RemoveOld(); });
+  host_.Timers().After(kRemovalInterval, [this] { RemoveExpired(); });
 }
 
 void
@@ -250,7 +252,7 @@
                          StoreRecord written;
                          written.value_ = value;
                          written.modRevision_ = aFence.value()->Get();
-                         TakeOwner(aJob, written);
+                         ApplyOwner(aJob, written);
                        }
                      });
 }
@@ -274,7 +276,7 @@
     return;
   }
   const Duration wait = due.empty() ? std::max(next - now, Duration{ 1000 })
-                                    : Duration{ kClaimAgain };
+                                    : Duration{ kClaimRetryDelay };
   claimTimer_ = host_.Timers().After(wait, [this] { ClaimDue(); });
 }
 
--- a/src/programs/gatewayd/job_directory.hpp
+++ b/src/programs/gatewayd/job_directory.hpp
@@ -43,27 +43,28 @@
   [[nodiscard]] const KnownJob* Find(const JobId& aJob) const;
   /// @returns whether neither a job's end nor a later owner is known than the
   /// one of that number
-  [[nodiscard]] bool IsNewest(const JobId& aJob, FencingNumber aFence) const;
+  [[nodiscard]] bool IsCurrent(const JobId& aJob, FencingNumber aFence) const;
   [[nodiscard]] const std::map<JobId, KnownJob>& Jobs() const noexcept
   {
     return jobs_;
   }
 
 private:
-  void TakeAll(const StoreRange& aRange);
+  void ApplySnapshot(const StoreRange& aRange);
   /// Forgets jobs that a whole reading of that revision lacks.
-  void ForgetMissing(const std::set<std::string>& aSeen,
+  void RemoveMissing(const std::set<std::string>& aSeen,
                      std::uint64_t aRevision);
-  void TakeChange(const StoreEvent& aEvent);
-  void TakeRecord(const StoreRecord& aRecord);
-  void TakeLife(const std::string& aIncarnation, const StoreRecord& aRecord);
-  void TakeRemoval(const std::string& aKey);
-  void TakeOwner(const JobId& aJob, const StoreRecord& aRecord);
-  void TakeEnd(const JobId& aJob);
+  void ApplyChange(const StoreEvent& aEvent);
+  void ApplyRecord(const StoreRecord& aRecord);
+  void ApplyLiveness(const std::string& aIncarnation,
+                     const StoreRecord& aRecord);
+  void ApplyRemoval(const std::string& aKey);
+  void ApplyOwner(const JobId& aJob, const StoreRecord& aRecord);
+  void ApplyEnd(const JobId& aJob);
   void ClaimDue();
   void Claim(const JobId& aJob);
   /// Removes jobs whose results need not be kept any more.
-  void RemoveOld();
+  void RemoveExpired();
 
   GatewayContext& host_;
   JobStore& store_;
@@ -72,8 +73,8 @@
   OwnerPlan owners_;
   std::map<JobId, KnownJob> jobs_;
   /// Keys of signs of life, to see which are missing from a whole reading.
-  std::set<std::string> lives_;
-  std::set<JobId> endsEarly_;
+  std::set<std::string> livenessKeys_;
+  std::set<JobId> endedJobs_;
   std::map<std::string, std::string> addresses_;
   bool claiming_ = true;
   /// Claims whose answer is awaited; each is a call to the store.
--- a/src/programs/gatewayd/job_intake.cpp
+++ b/src/programs/gatewayd/job_intake.cpp
@@ -10,39 +10,40 @@
 
 namespace {
 
-constexpr std::size_t kLongestId = 100;
+constexpr std::size_t kMaxIdLength = 100;
 /// A process that is to own a job and does not answer in this time is passed
 /// over; an acceptance is one write to the store, of some milliseconds, and a
 /// trainer's submission is late after 400 ms.
-constexpr auto kHandOnTimeout = std::chrono::milliseconds(200);
+constexpr auto kForwardTimeout = std::chrono::milliseconds(200);
 
 std::string_view
-NameOf(AcceptEnd aEnd)
+NameOf(AcceptOutcome aOutcome)
 {
   constexpr std::array<std::string_view, 4> kNames{
     "accepted", "known", "refused", "unknown"
   };
-  return kNames.at(static_cast<std::size_t>(aEnd));
+  return kNames.at(static_cast<std::size_t>(aOutcome));
 }
 
 /// @returns `Unknown` unless the answer says otherwise
-AcceptEnd
-ReadHandOnEnd(const RpcReply& aReply)
+AcceptOutcome
+ReadForwardOutcome(const RpcReply& aReply)
 {
   const auto end = aReply ? DecodeJobHandOnAnswer(aReply.value())
                           : Result<std::uint8_t>(aReply.error());
   const bool known =
-    end && end.value() <= static_cast<std::uint8_t>(AcceptEnd::Unknown);
-  return known ? static_cast<AcceptEnd>(end.value()) : AcceptEnd::Unknown;
+    end && end.value() <= static_cast<std::uint8_t>(AcceptOutcome::Unknown);
+  return known ? static_cast<AcceptOutcome>(end.value())
+               : AcceptOutcome::Unknown;
 }
 
 } // namespace
 
 bool
-GoodJobId(const JobId& aJob)
+IsValidJobId(const JobId& aJob)
 {
   const std::string& id = aJob.Get();
-  return !id.empty() && id.size() <= kLongestId &&
+  return !id.empty() && id.size() <= kMaxIdLength &&
          std::all_of(id.begin(), id.end(), [](unsigned char aByte) {
            return std::isalnum(aByte) != 0 || aByte == '-' || aByte == '_' ||
                   aByte == '.';
@@ -60,7 +61,7 @@
 {
   host_.Peers().Serve(RpcTopic::JobHandOn,
                       [this](const RpcCall& aCall, const RpcDone& aDone) {
-                        ServeHandOn(aCall, aDone);
+                        ServeForwarded(aCall, aDone);
                       });
 }
 
@@ -73,7 +74,7 @@
   const auto id =
     FindHeader(aRequest.headers_, host_.Formats().Names().attempt_);
   const JobId job{ std::string(id.value_or("")) };
-  if (!GoodJobId(job)) {
+  if (!IsValidJobId(job)) {
     aReply->Send(ErrorResponse(
       400, "bad_job", "the job's id is missing or not letters and digits"));
     return;
@@ -83,7 +84,7 @@
     return;
   }
   if (!open_) {
-    aReply->Send(RefusedResponse("shutting down", kJobComeBack));
+    aReply->Send(RefusedResponse("shutting down", kJobRetryAfter));
     return;
   }
   auto spec = host_.Formats().ReadSubmission(aRequest.body_);
@@ -104,11 +105,11 @@
     std::move(spec).value() });
   const std::string owner = directory_.OwnerFor(submission->spec_.model_);
   if (!owner.empty()) {
-    HandOn(submission, owner, aReply);
+    ForwardToOwner(submission, owner, aReply);
     return;
   }
-  AcceptHere(submission, [this, submission, aReply](AcceptEnd aEnd) {
-    Answer(*submission, aEnd, *aReply);
+  AcceptHere(submission, [this, submission, aReply](AcceptOutcome aOutcome) {
+    Answer(*submission, aOutcome, *aReply);
   });
 }
 
@@ -124,9 +125,9 @@
       LogEvent(LogLevel::Info,
                "job_submitted",
                { { "job", job.Get() },
-                 { "outcome", std::string(NameOf(aResult.end_)) } });
-      done(aResult.end_);
-      if (aResult.end_ == AcceptEnd::Accepted) {
+                 { "outcome", std::string(NameOf(aResult.outcome_)) } });
+      done(aResult.outcome_);
+      if (aResult.outcome_ == AcceptOutcome::Accepted) {
         StartAccepted(*aSubmission, aResult.fence_);
       }
     });
@@ -141,7 +142,7 @@
   if (runner_.Owns(job) || !open_) {
     return;
   }
-  if (!directory_.IsNewest(job, aFence)) {
+  if (!directory_.IsCurrent(job, aFence)) {
     LogEvent(LogLevel::Info,
              "job_not_started",
              { { "job", job.Get() },
@@ -169,65 +170,66 @@
 /// Where the other process may have accepted the job, a refusal here would be
 /// a promise that it does not run.
 void
-JobIntake::HandOn(const SubmissionPtr& aSubmission,
-                  const std::string& aOwner,
-                  const HttpReplyPtr& aReply)
+JobIntake::ForwardToOwner(const SubmissionPtr& aSubmission,
+                          const std::string& aOwner,
+                          const HttpReplyPtr& aReply)
 {
   RpcCall call;
   call.topic_ = RpcTopic::JobHandOn;
-  call.timeout_ = kHandOnTimeout;
+  call.timeout_ = kForwardTimeout;
   call.body_ = EncodeJobHandOn(
     { aSubmission->job_.Get(), WriteSubmissionRecord(aSubmission->record_) });
   host_.Peers().Call(
     aOwner,
     std::move(call),
     [this, aSubmission, aOwner, aReply](const RpcReply& aAnswer) {
-      const AcceptEnd end = ReadHandOnEnd(aAnswer);
+      const AcceptOutcome end = ReadForwardOutcome(aAnswer);
       LogEvent(LogLevel::Info,
                "job_handed_on",
                { { "job", aSubmission->job_.Get() },
                  { "to", aOwner },
                  { "outcome", std::string(NameOf(end)) },
                  { "error", aAnswer ? "" : aAnswer.error().message_ } });
-      if (end == AcceptEnd::Accepted || end == AcceptEnd::Known) {
+      if (end == AcceptOutcome::Accepted || end == AcceptOutcome::Known) {
         Answer(*aSubmission, end, *aReply);
         return;
       }
       AcceptHere(
-        aSubmission, [this, aSubmission, aReply, end](AcceptEnd aOwnEnd) {
-          const bool promises =
-            aOwnEnd == AcceptEnd::Refused && end == AcceptEnd::Unknown;
-          Answer(
-            *aSubmission, promises ? AcceptEnd::Unknown : aOwnEnd, *aReply);
+        aSubmission, [this, aSubmission, aReply, end](AcceptOutcome aLocal) {
+          const bool mayBeAccepted =
+            aLocal == AcceptOutcome::Refused && end == AcceptOutcome::Unknown;
+          Answer(*aSubmission,
+                 mayBeAccepted ? AcceptOutcome::Unknown : aLocal,
+                 *aReply);
         });
     });
 }
 
 void
-JobIntake::ServeHandOn(const RpcCall& aCall, const RpcDone& aDone)
+JobIntake::ServeForwarded(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto answer = [aDone](AcceptEnd aEnd) {
-    aDone(EncodeJobHandOnAnswer(static_cast<std::uint8_t>(aEnd)));
+  const auto answer = [aDone](AcceptOutcome aOutcome) {
+    aDone(EncodeJobHandOnAnswer(static_cast<std::uint8_t>(aOutcome)));
   };
   if (!open_) {
-    answer(AcceptEnd::Refused);
+    answer(AcceptOutcome::Refused);
     return;
   }
-  const auto handOn = DecodeJobHandOn(aCall.body_);
-  auto record = handOn ? ReadSubmissionRecord(handOn.value().submission_)
-                       : Result<JobSubmissionRecord>(handOn.error());
+  const auto forwarded = DecodeJobHandOn(aCall.body_);
+  auto record = forwarded ? ReadSubmissionRecord(forwarded.value().submission_)
+                          : Result<JobSubmissionRecord>(forwarded.error());
   auto spec = record ? host_.Formats().ReadSubmission(record.value().body_)
                      : Result<JobSpec>(record.error());
-  if (!spec || !GoodJobId(JobId{ handOn.value().job_ })) {
+  if (!spec || !IsValidJobId(JobId{ forwarded.value().job_ })) {
     LogEvent(LogLevel::Warn,
              "job_hand_on_unreadable",
              { { "error", spec ? "bad id" : spec.error().message_ } });
-    answer(AcceptEnd::Refused);
+    answer(AcceptOutcome::Refused);
     return;
   }
-  const JobId job{ handOn.value().job_ };
+  const JobId job{ forwarded.value().job_ };
   if (directory_.Find(job) != nullptr) {
-    answer(AcceptEnd::Known);
+    answer(AcceptOutcome::Known);
     return;
   }
   AcceptHere(std::make_shared<const Submission>(Submission{
@@ -237,21 +239,21 @@
 
 void
 JobIntake::Answer(const Submission& aSubmission,
-                  AcceptEnd aEnd,
+                  AcceptOutcome aOutcome,
                   HttpReply& aReply) const
 {
-  switch (aEnd) {
-    case AcceptEnd::Accepted:
+  switch (aOutcome) {
+    case AcceptOutcome::Accepted:
       onAccepted_(aSubmission.job_, aSubmission.spec_.items_.size());
       aReply.Send(JsonResponse(202, "{}"));
       return;
-    case AcceptEnd::Known:
+    case AcceptOutcome::Known:
       aReply.Send(JsonResponse(202, "{}"));
       return;
-    case AcceptEnd::Refused:
-      aReply.Send(RefusedResponse("the store took nothing", kJobComeBack));
+    case AcceptOutcome::Refused:
+      aReply.Send(RefusedResponse("the store took nothing", kJobRetryAfter));
       return;
-    case AcceptEnd::Unknown:
+    case AcceptOutcome::Unknown:
       aReply.Send(ErrorResponse(
         504, "unknown_outcome", "the store did not say whether it took it"));
       return;
--- a/src/programs/gatewayd/job_intake.hpp
+++ b/src/programs/gatewayd/job_intake.hpp
@@ -9,11 +9,11 @@
 namespace marjoramtally {
 
 /// Whoever could not be answered about a job comes back after this time.
-inline constexpr auto kJobComeBack = std::chrono::milliseconds(300);
+inline constexpr auto kJobRetryAfter = std::chrono::milliseconds(300);
 
 /// @returns whether the id can be part of keys in the store
 [[nodiscard]] bool
-GoodJobId(const JobId& aJob);
+IsValidJobId(const JobId& aJob);
 
 /// Answers submissions of callers and of other gateways. Used on one loop.
 class JobIntake
@@ -46,22 +46,22 @@
     JobSpec spec_;
   };
   using SubmissionPtr = std::shared_ptr<const Submission>;
-  using AcceptDone = std::function<void(AcceptEnd)>;
+  using AcceptDone = std::function<void(AcceptOutcome)>;
 
   /// Accepts a job in the store and owns it then.
   void AcceptHere(const SubmissionPtr& aSubmission, AcceptDone aDone);
   /// Starts a job that was accepted here, unless it has moved on since.
   void StartAccepted(const Submission& aSubmission, FencingNumber aFence);
-  void HandOn(const SubmissionPtr& aSubmission,
-              const std::string& aOwner,
-              const HttpReplyPtr& aReply);
+  void ForwardToOwner(const SubmissionPtr& aSubmission,
+                      const std::string& aOwner,
+                      const HttpReplyPtr& aReply);
   /// Accepts a job that another gateway hands on.
-  void ServeHandOn(const RpcCall& aCall, const RpcDone& aDone);
+  void ServeForwarded(const RpcCall& aCall, const RpcDone& aDone);
   static void AnswerKnown(const CustomerId& aOwner,
                           const CustomerId& aAsker,
                           HttpReply& aReply);
   void Answer(const Submission& aSubmission,
-              AcceptEnd aEnd,
+              AcceptOutcome aOutcome,
               HttpReply& aReply) const;
 
   GatewayContext& host_;
--- a/src/programs/gatewayd/job_runner.cpp
+++ b/src/programs/gatewayd/job_runner.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// Items that found no upstream are tried again after this time.
-constexpr auto kRetryPause = std::chrono::milliseconds(100);
+constexpr auto kDispatchRetryDelay = std::chrono::milliseconds(100);
 /// Items are given up this much later than they may be: clocks differ by
 /// some seconds.
-constexpr auto kGiveUpSlack = std::chrono::seconds(6);
+constexpr auto kClockSkewMargin = std::chrono::seconds(6);
 /// Results and bodies of a job that ended are told from memory for this long;
 /// later readers ask the store, which is a priced call each.
-constexpr auto kEndedStay = std::chrono::seconds(60);
+constexpr auto kEndedRetention = std::chrono::seconds(60);
 
 } // namespace
 
@@ -80,9 +80,9 @@
                                                   aPartials,
                                                   accepted,
                                                   ++lastSequence_));
-  TellOwning();
+  UpdateUnfinished();
   if (added) {
-    NoteModelDemand();
+    RecordModelDemand();
     Advance(aJob, it->second);
   }
 }
@@ -97,16 +97,16 @@
   LogEvent(LogLevel::Info, "job_dropped", { { "job", aJob.Get() } });
   StopRuns(it->second);
   jobs_.erase(it);
-  TellOwning();
+  UpdateUnfinished();
   if (onDropped_) {
     onDropped_(aJob);
   }
 }
 
 void
-JobRunner::Keep(OwnedJob& aJob)
+JobRunner::SaveTexts(OwnedJob& aJob)
 {
-  for (PartialRecord& partial : std::exchange(aJob.texts_, {})) {
+  for (PartialRecord& partial : std::exchange(aJob.inheritedTexts_, {})) {
     partials_.Put(partial.item_, std::move(partial.text_));
   }
   for (ItemIndex i = 0; i < aJob.ledger_.Spec().items_.size(); ++i) {
@@ -136,23 +136,24 @@
   host_.Measures().Observe(
     "job_seconds",
     std::chrono::duration<double>(host_.Now() - job.accepted_).count());
-  TellOwning();
+  UpdateUnfinished();
   StopRuns(job);
-  Keep(job);
-  host_.Timers().After(kEndedStay, [this, aJob] { Drop(aJob); });
+  SaveTexts(job);
+  host_.Timers().After(kEndedRetention, [this, aJob] { Drop(aJob); });
   Dispatch();
 }
 
 /// What is done lasts in the store: nobody has to take it over soon.
 void
-JobRunner::TellOwning()
+JobRunner::UpdateUnfinished()
 {
-  const bool owning =
+  const bool unfinished =
     std::any_of(jobs_.begin(), jobs_.end(), [](const auto& aEntry) {
       return !aEntry.second.ended_ && !aEntry.second.ledger_.Done();
     });
-  if (std::exchange(owning_, owning) != owning && onOwning_) {
-    onOwning_(owning);
+  if (std::exchange(hasUnfinished_, unfinished) != unfinished &&
+      onUnfinishedChanged_) {
+    onUnfinishedChanged_(unfinished);
   }
 }
 
@@ -168,30 +169,30 @@
 }
 
 std::map<ServiceId, std::uint64_t>
-JobRunner::PlacesWanted() const
+JobRunner::SlotsWanted() const
 {
-  std::map<ServiceId, std::uint64_t> places;
+  std::map<ServiceId, std::uint64_t> slots;
   for (const auto& [id, job] : jobs_) {
     const Route* route = routes_.Match(job.host_, job.path_);
     if (job.ended_ || route == nullptr || route->services_.empty()) {
       continue;
     }
-    places[route->services_.front().service_] += PlacesOf(job);
+    slots[route->services_.front().service_] += SlotsWantedBy(job);
   }
-  return places;
+  return slots;
 }
 
 /// Demand grows only when a job is taken up.
 void
-JobRunner::NoteModelDemand()
+JobRunner::RecordModelDemand()
 {
-  std::map<std::string, std::uint64_t> places;
+  std::map<std::string, std::uint64_t> slots;
   for (const auto& [id, job] : jobs_) {
     if (!job.ended_) {
-      places[job.ledger_.Spec().model_] += PlacesOf(job);
+      slots[job.ledger_.Spec().model_] += SlotsWantedBy(job);
     }
   }
-  for (const auto& [model, wanted] : places) {
+  for (const auto& [model, wanted] : slots) {
     modelDemand_[model] = std::max(modelDemand_[model], wanted);
   }
 }
@@ -199,40 +200,40 @@
 std::map<std::string, std::uint64_t>
 JobRunner::TakeModelDemand()
 {
-  NoteModelDemand();
+  RecordModelDemand();
   return std::exchange(modelDemand_, {});
 }
 
 std::uint64_t
-JobRunner::PlacesOf(const OwnedJob& aJob) const
+JobRunner::SlotsWantedBy(const OwnedJob& aJob) const
 {
   return aJob.ledger_.Waiting(host_.Now()).size() + aJob.runs_.size();
 }
 
 void
-JobRunner::GiveBack()
+JobRunner::ReleaseAll()
 {
-  if (givingBack_) {
+  if (releasing_) {
     return;
   }
-  givingBack_ = true;
+  releasing_ = true;
   for (auto& [id, job] : jobs_) {
     StopRuns(job);
   }
   if (!batch_) {
-    GiveBackJobs();
+    ReleaseJobs();
   }
 }
 
 void
 JobRunner::Advance(const JobId& aId, OwnedJob& aJob)
 {
-  if (givingBack_) {
+  if (releasing_) {
     return;
   }
   Score(aId, aJob);
   Dispatch();
-  PlanFlush();
+  ScheduleFlush();
 }
 
 JobPolicy
@@ -243,7 +244,7 @@
   const Route* route = routes_.Match(aJob.host_, aJob.path_);
   if (route != nullptr) {
     policy.maxAttempts_ = route->maxAttempts_;
-    policy.maxQueue_ = route->maxQueue_ + kGiveUpSlack;
+    policy.maxQueue_ = route->maxQueue_ + kClockSkewMargin;
     policy.runDeadline_ = route->runDeadline_;
     policy.singleVersion_ = route->singleVersion_;
   }
@@ -266,7 +267,7 @@
 /// listed all 96 items of a job as errored, while the configuration, of 1,400
 /// routes and more, was still being read.
 bool
-JobRunner::Govern(const JobId& aId, OwnedJob& aJob)
+JobRunner::ApplyLimits(const JobId& aId, OwnedJob& aJob)
 {
   const ConfigRevision revision = routes_.Config().revision_;
   if (!routes_.Covers(aJob.acceptedUnder_)) {
@@ -288,19 +289,19 @@
              { "score_attempts", std::to_string(policy.maxScoreFailures_) },
              { "queue_ms", std::to_string(WholeMillis(policy.maxQueue_)) } });
   if (first) {
-    TakeTexts(aJob);
+    RestoreTexts(aJob);
   }
   aJob.ledger_.AbandonOverdue(host_.Now());
   Score(aId, aJob);
-  PlanFlush();
+  ScheduleFlush();
   return true;
 }
 
 /// Which texts fit depends on whether the route wants one version for each.
 void
-JobRunner::TakeTexts(OwnedJob& aJob)
+JobRunner::RestoreTexts(OwnedJob& aJob)
 {
-  for (const PartialRecord& partial : std::exchange(aJob.texts_, {})) {
+  for (const PartialRecord& partial : std::exchange(aJob.inheritedTexts_, {})) {
     const auto item = aJob.ledger_.Find(partial.item_);
     if (item) {
       aJob.ledger_.Reuse(*item, partial.text_);
@@ -317,7 +318,7 @@
 void
 JobRunner::Dispatch()
 {
-  if (givingBack_) {
+  if (releasing_) {
     return;
   }
   std::vector<std::pair<std::uint64_t, JobId>> order;
@@ -330,7 +331,7 @@
   bool waiting = false;
   for (const auto& entry : order) {
     OwnedJob& job = jobs_.at(entry.second);
-    if (!Govern(entry.second, job)) {
+    if (!ApplyLimits(entry.second, job)) {
       continue;
     }
     waiting = DispatchJob(entry.second, job) || waiting;
@@ -338,7 +339,8 @@
   host_.Timers().Cancel(retryTimer_);
   retryTimer_ = 0;
   if (waiting) {
-    retryTimer_ = host_.Timers().After(kRetryPause, [this] { Dispatch(); });
+    retryTimer_ =
+      host_.Timers().After(kDispatchRetryDelay, [this] { Dispatch(); });
   }
 }
 
@@ -353,7 +355,7 @@
     const Route* route = routes_.Match(aJob.host_, item.path_);
     if (route == nullptr) {
       aJob.ledger_.OnRouteRemoved(index, host_.Now());
-      PlanFlush();
+      ScheduleFlush();
       continue;
     }
     const ServiceId& service =
@@ -365,7 +367,7 @@
     const ItemNeeds needs{ service,
                            spec.model_,
                            spec.minVersion_,
-                           aJob.places_[item.group_],
+                           aJob.groupUpstreams_[item.group_],
                            avoided == aJob.avoided_.end() ? UpstreamId{}
                                                           : avoided->second };
     const TrackedUpstream* upstream =
--- a/src/programs/gatewayd/job_runner.hpp
+++ b/src/programs/gatewayd/job_runner.hpp
@@ -24,8 +24,8 @@
   std::function<void(const JobId&)> onListed_;
   /// Called when this process comes to own jobs that are not done, or owns
   /// none such any more.
-  std::function<void(bool)> onOwning_;
-  /// Called when this process stops owning a job.
+  std::function<void(bool)> onUnfinishedChanged_;
+  /// Called when this process stops unfinished a job.
   std::function<void(const JobId&)> onDropped_;
 
   /// A job is ours.
@@ -46,7 +46,7 @@
   /// Runs at the upstream's incarnation before are lost; they go on elsewhere.
   void OnUpstreamRestarted(const UpstreamId& aUpstream);
   /// Gives all jobs back; `Idle` holds once that is done.
-  void GiveBack();
+  void ReleaseAll();
   [[nodiscard]] bool Idle() const noexcept { return jobs_.empty(); }
   /// @returns whether a job here still has something to run or to write
   [[nodiscard]] bool HasOpen() const noexcept;
@@ -62,7 +62,7 @@
     return jobs_.at(aJob).customer_;
   }
   /// @returns places that items of the jobs here want, by service
-  [[nodiscard]] std::map<ServiceId, std::uint64_t> PlacesWanted() const;
+  [[nodiscard]] std::map<ServiceId, std::uint64_t> SlotsWanted() const;
   /// @returns the most places that items of each model have wanted at once
   /// since the last call: a step of short texts comes and goes between two
   [[nodiscard]] std::map<std::string, std::uint64_t> TakeModelDemand();
@@ -89,7 +89,7 @@
       , customer_(aSubmission.customer_)
       , fence_(aFence)
       , ledger_(std::move(aLedger))
-      , texts_(std::move(aTexts))
+      , inheritedTexts_(std::move(aTexts))
       , accepted_(aAccepted)
       , sequence_(aSequence)
     {
@@ -107,19 +107,19 @@
     FencingNumber fence_;
     JobLedger ledger_;
     /// Texts of an earlier owner, until limits say which of them fit.
-    std::vector<PartialRecord> texts_;
+    std::vector<PartialRecord> inheritedTexts_;
     TimePoint accepted_;
     TimePoint deadline_ = kNever;
     std::uint64_t sequence_ = 0;
     bool ended_ = false;
     std::map<ItemIndex, RunId> runs_;
     /// Where items of a group run, for the prompt that they share.
-    std::map<GroupId, UpstreamId> places_;
+    std::map<GroupId, UpstreamId> groupUpstreams_;
     /// Where an item was given up on last.
     std::map<ItemIndex, UpstreamId> avoided_;
     std::map<ItemIndex, ForwardId> scores_;
     /// When texts of items in progress were last written.
-    TimePoint lastPartials_;
+    TimePoint lastPartialsWrite_;
   };
 
   /// One stream of an item.
@@ -150,25 +150,25 @@
   };
 
   /// A refused batch whose jobs are looked at one by one.
-  struct Settling
+  struct Reconciliation
   {
     Batch batch_;
-    std::size_t left_ = 0;
+    std::size_t pending_ = 0;
   };
 
   /// Gives a job the limits of the configuration in force.
   /// @returns whether that configuration can tell what is to be done with it
   /// @returns places that a job's items hold or wait for
-  [[nodiscard]] std::uint64_t PlacesOf(const OwnedJob& aJob) const;
-  [[nodiscard]] bool Govern(const JobId& aId, OwnedJob& aJob);
+  [[nodiscard]] std::uint64_t SlotsWantedBy(const OwnedJob& aJob) const;
+  [[nodiscard]] bool ApplyLimits(const JobId& aId, OwnedJob& aJob);
   [[nodiscard]] JobPolicy PolicyOf(const OwnedJob& aJob) const;
-  void TakeTexts(OwnedJob& aJob);
+  void RestoreTexts(OwnedJob& aJob);
   void Dispatch();
   /// @returns whether items wait that may start without another event
   [[nodiscard]] bool DispatchJob(const JobId& aId, OwnedJob& aJob);
   /// @returns another upstream for an item that may have crashed one, if
   /// another such is in progress at the one picked and not at the other
-  [[nodiscard]] const TrackedUpstream& Apart(
+  [[nodiscard]] const TrackedUpstream& PickSeparate(
     Fingerprint aFingerprint,
     const OwnedJob& aJob,
     const TrackedUpstream& aPicked) const;
@@ -187,15 +187,15 @@
   [[nodiscard]] bool OnData(RunId aId, std::string_view aData);
   [[nodiscard]] bool OnEvent(Run& aRun, const ServerEvent& aEvent);
   void OnRunEnd(RunId aId, const HttpResult& aResult);
-  void SettleRun(const Run& aRun, OwnedJob& aJob, const HttpResult& aResult);
+  void FinishRun(const Run& aRun, OwnedJob& aJob, const HttpResult& aResult);
   void StopRun(RunId aId, CallVerdict aVerdict, CallEnd aEnd = CallEnd::Other);
   void StopRuns(OwnedJob& aJob);
-  void WatchRuns();
+  void ScheduleRunCheck();
   void CheckRuns();
   /// @returns whether a run stands still that had begun
   [[nodiscard]] bool Stalled(const Run& aRun) const;
   /// @returns whether a run waits in vain at an upstream that is quiet
-  [[nodiscard]] bool Ignored(const Run& aRun) const;
+  [[nodiscard]] bool Unanswered(const Run& aRun) const;
   [[nodiscard]] bool ShouldMove(const Run& aRun) const;
 
   void Score(const JobId& aId, OwnedJob& aJob);
@@ -212,29 +212,30 @@
     const JobLedger& aLedger,
     const std::vector<ItemIndex>& aListed);
   [[nodiscard]] bool PartialsDue(const OwnedJob& aJob) const;
-  void GiveBackJobs();
+  void ReleaseJobs();
 
   /// Scores, writes and starts whatever may be.
   void Advance(const JobId& aId, OwnedJob& aJob);
-  void PlanFlush();
+  void ScheduleFlush();
   void Flush();
   void SendBatch();
-  void OnBatchEnd(WriteEnd aEnd);
+  void OnBatchEnd(WriteOutcome aEnd);
   void FinishBatch();
   /// Finds out what became of a batch that a comparison refused.
-  void SettleBatch();
-  void SettleWrite(const std::shared_ptr<Settling>& aSettling,
-                   std::size_t aIndex,
-                   const Result<StoreRange>& aRange);
+  void ReconcileBatch();
+  void ReconcileWrite(const std::shared_ptr<Reconciliation>& aReconciliation,
+                      std::size_t aIndex,
+                      const Result<StoreRange>& aRange);
   /// @param aAgain whether the write is to be sent again
-  void EndSettling(const std::shared_ptr<Settling>& aSettling,
-                   std::size_t aIndex,
-                   bool aAgain);
+  void FinishReconciliation(
+    const std::shared_ptr<Reconciliation>& aReconciliation,
+    std::size_t aIndex,
+    bool aAgain);
   /// @returns the job under the number that a write was made with, or nullptr
   [[nodiscard]] OwnedJob* WriterOf(const ResultsWrite& aWrite);
-  void Keep(OwnedJob& aJob);
-  void TellOwning();
-  void NoteModelDemand();
+  void SaveTexts(OwnedJob& aJob);
+  void UpdateUnfinished();
+  void RecordModelDemand();
 
   GatewayContext& host_;
   const RouteTable& routes_;
@@ -252,8 +253,8 @@
   LoopTimerId flushTimer_ = 0;
   LoopTimerId checkTimer_ = 0;
   LoopTimerId retryTimer_ = 0;
-  bool givingBack_ = false;
-  bool owning_ = false;
+  bool releasing_ = false;
+  bool hasUnfinished_ = false;
 };
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/job_runner_results.cpp
+++ b/src/programs/gatewayd/job_runner_results.cpp
@@ -10,22 +10,22 @@
 
 /// Results that finish within this time are written together: each write is
 /// a priced call, and a step has seconds.
-constexpr auto kFlushPause = std::chrono::milliseconds(200);
+constexpr auto kFlushDelay = std::chrono::milliseconds(200);
 /// The last results of a job are what its trainer waits for.
-constexpr auto kLastFlushPause = std::chrono::milliseconds(20);
+constexpr auto kFinalFlushDelay = std::chrono::milliseconds(20);
 /// A write that failed is tried again after this time.
-constexpr auto kFlushAgain = std::chrono::milliseconds(250);
+constexpr auto kFlushRetryDelay = std::chrono::milliseconds(250);
 /// Most jobs of one write: each takes four of the store's 32 entries.
-constexpr std::size_t kJobsAtOnce = 7;
+constexpr std::size_t kMaxJobsPerWrite = 7;
 /// Most bytes of results in one record; a value of the store holds 1 MiB.
-constexpr std::size_t kRecordBytes = 600U * 1024U;
+constexpr std::size_t kMaxRecordBytes = 600U * 1024U;
 /// Texts in progress are written so often, with results where there are any:
 /// what the next owner need not make anew.
-constexpr auto kPartialsPause = std::chrono::milliseconds(1500);
+constexpr auto kPartialsInterval = std::chrono::milliseconds(1500);
 /// Shorter texts are sooner made anew than read.
-constexpr std::uint64_t kLeastEvents = 5;
+constexpr std::uint64_t kMinPartialEvents = 5;
 /// Scoring is tried again after this time.
-constexpr auto kScoreAgain = std::chrono::milliseconds(150);
+constexpr auto kScoreRetryDelay = std::chrono::milliseconds(150);
 
 void
 LogResults(const ResultsWrite& aWrite, std::size_t aCount)
@@ -43,7 +43,7 @@
 } // namespace
 
 void
-JobRunner::GiveBackJobs()
+JobRunner::ReleaseJobs()
 {
   std::vector<JobId> ids;
   for (const auto& [id, job] : jobs_) {
@@ -67,8 +67,8 @@
              { { "job", id.Get() },
                { "bytes_of_texts",
                  std::to_string(last.writes_.front().partials_.size()) } });
-    store_.GiveBack(
-      last.writes_.front(), record, [this, id](WriteEnd) { Drop(id); });
+    store_.Release(
+      last.writes_.front(), record, [this, id](WriteOutcome) { Drop(id); });
   }
 }
 
@@ -82,8 +82,8 @@
   for (ItemIndex i = 0; i < aLedger.Spec().items_.size(); ++i) {
     const PartialText& text = aLedger.Text(i);
     if (aLedger.State(i) == ItemState::Listed || listed.contains(i) ||
-        text.lastEvent_ < kLeastEvents ||
-        bytes + text.text_.size() > kRecordBytes) {
+        text.lastEvent_ < kMinPartialEvents ||
+        bytes + text.text_.size() > kMaxRecordBytes) {
       continue;
     }
     bytes += text.text_.size();
@@ -95,8 +95,8 @@
 bool
 JobRunner::PartialsDue(const OwnedJob& aJob) const
 {
-  return host_.Now() - std::max(aJob.lastPartials_, aJob.accepted_) >=
-         kPartialsPause;
+  return host_.Now() - std::max(aJob.lastPartialsWrite_, aJob.accepted_) >=
+         kPartialsInterval;
 }
 
 void
@@ -112,7 +112,7 @@
   for (const ItemIndex item : aItems) {
     JobResult result = aJob.ledger_.ResultOf(item);
     bytes += result.text_.size();
-    if (bytes > kRecordBytes && !items.empty()) {
+    if (bytes > kMaxRecordBytes && !items.empty()) {
       break;
     }
     if (!result.completed_) {
@@ -138,7 +138,7 @@
   }
   if (aWithPartials) {
     write.partials_ = EncodePartials(aJob.ledger_, items);
-    aJob.lastPartials_ = host_.Now();
+    aJob.lastPartialsWrite_ = host_.Now();
   }
   aBatch.writes_.push_back(std::move(write));
   aBatch.items_.push_back(std::move(items));
@@ -215,8 +215,8 @@
              { "status", std::to_string(response.status_) },
              { "failures", std::to_string(aOutcome.failures_) } });
   job.ledger_.OnScoreFailed(aItem, aOutcome.failures_, host_.Now());
-  PlanFlush();
-  host_.Timers().After(kScoreAgain, [this, aId] {
+  ScheduleFlush();
+  host_.Timers().After(kScoreRetryDelay, [this, aId] {
     const auto again = jobs_.find(aId);
     if (again != jobs_.end()) {
       Advance(aId, again->second);
@@ -225,9 +225,9 @@
 }
 
 void
-JobRunner::PlanFlush()
+JobRunner::ScheduleFlush()
 {
-  if (batch_ || givingBack_) {
+  if (batch_ || releasing_) {
     return;
   }
   const TimePoint now = host_.Now();
@@ -241,12 +241,13 @@
     const bool awaited =
       job.ledger_.Spec().targetGroups_ > 0 && job.ledger_.EnoughGroups();
     const Duration pause = awaited || job.ledger_.FewLeft()
-                             ? Duration{ kLastFlushPause }
-                             : Duration{ kFlushPause };
+                             ? Duration{ kFinalFlushDelay }
+                             : Duration{ kFlushDelay };
     due = std::min(due, ready ? now + pause : job.ledger_.NextDue());
     if (!job.runs_.empty() && !job.ledger_.AwaitsLastGroups(now)) {
-      due = std::min(
-        due, std::max(job.lastPartials_, job.accepted_) + kPartialsPause);
+      due = std::min(due,
+                     std::max(job.lastPartialsWrite_, job.accepted_) +
+                       kPartialsInterval);
     }
   }
   host_.Timers().Cancel(flushTimer_);
@@ -264,7 +265,7 @@
   Batch batch;
   for (auto& [id, job] : jobs_) {
     if (job.ended_ || job.limits_.config_ == ConfigRevision{} ||
-        batch.writes_.size() == kJobsAtOnce) {
+        batch.writes_.size() == kMaxJobsPerWrite) {
       continue;
     }
     job.ledger_.AbandonOverdue(now);
@@ -283,7 +284,7 @@
     }
   }
   if (batch.writes_.empty()) {
-    PlanFlush();
+    ScheduleFlush();
     return;
   }
   batch_ = std::move(batch);
@@ -294,23 +295,23 @@
 JobRunner::SendBatch()
 {
   store_.WriteResults(batch_->writes_,
-                      [this](WriteEnd aEnd) { OnBatchEnd(aEnd); });
+                      [this](WriteOutcome aEnd) { OnBatchEnd(aEnd); });
 }
 
 void
-JobRunner::OnBatchEnd(WriteEnd aEnd)
+JobRunner::OnBatchEnd(WriteOutcome aEnd)
 {
   switch (aEnd) {
-    case WriteEnd::Written:
+    case WriteOutcome::Written:
       FinishBatch();
       return;
-    case WriteEnd::Fenced:
-      SettleBatch();
+    case WriteOutcome::Fenced:
+      ReconcileBatch();
       return;
-    case WriteEnd::Refused:
-    case WriteEnd::Unknown:
+    case WriteOutcome::Refused:
+    case WriteOutcome::Unknown:
       // The same writes again: whichever of the two lands first is right.
-      host_.Timers().After(kFlushAgain, [this] { SendBatch(); });
+      host_.Timers().After(kFlushRetryDelay, [this] { SendBatch(); });
       return;
   }
 }
@@ -320,8 +321,8 @@
 {
   const Batch batch = std::move(*batch_);
   batch_.reset();
-  if (givingBack_) {
-    host_.Timers().After({}, [this] { GiveBackJobs(); });
+  if (releasing_) {
+    host_.Timers().After({}, [this] { ReleaseJobs(); });
   }
   for (std::size_t i = 0; i < batch.writes_.size(); ++i) {
     const JobId& id = batch.writes_[i].job_;
@@ -335,8 +336,8 @@
       onListed_(id);
     }
   }
-  TellOwning();
-  PlanFlush();
+  UpdateUnfinished();
+  ScheduleFlush();
 }
 
 /// A job that was lost and claimed again since has a ledger that was read from
@@ -354,84 +355,86 @@
 /// comparison failed; an earlier copy of the write may still land, so it is
 /// sent again unchanged.
 void
-JobRunner::SettleBatch()
+JobRunner::ReconcileBatch()
 {
-  const auto settling = std::make_shared<Settling>();
-  settling->batch_ = std::move(*batch_);
-  settling->left_ = settling->batch_.writes_.size();
+  const auto reconciliation = std::make_shared<Reconciliation>();
+  reconciliation->batch_ = std::move(*batch_);
+  reconciliation->pending_ = reconciliation->batch_.writes_.size();
   batch_ = Batch{};
-  for (std::size_t i = 0; i < settling->batch_.writes_.size(); ++i) {
-    const ResultsWrite& write = settling->batch_.writes_[i];
+  for (std::size_t i = 0; i < reconciliation->batch_.writes_.size(); ++i) {
+    const ResultsWrite& write = reconciliation->batch_.writes_[i];
     host_.PlatformStore().Read(
       job_keys::ResultsAt(write.job_, write.position_),
-      [this, settling, i](const Result<StoreRange>& aRange) {
-        SettleWrite(settling, i, aRange);
+      [this, reconciliation, i](const Result<StoreRange>& aRange) {
+        ReconcileWrite(reconciliation, i, aRange);
       });
   }
 }
 
 void
-JobRunner::SettleWrite(const std::shared_ptr<Settling>& aSettling,
-                       std::size_t aIndex,
-                       const Result<StoreRange>& aRange)
+JobRunner::ReconcileWrite(
+  const std::shared_ptr<Reconciliation>& aReconciliation,
+  std::size_t aIndex,
+  const Result<StoreRange>& aRange)
 {
-  const ResultsWrite& write = aSettling->batch_.writes_[aIndex];
+  const ResultsWrite& write = aReconciliation->batch_.writes_[aIndex];
   OwnedJob* job = WriterOf(write);
   if (job == nullptr) {
-    EndSettling(aSettling, aIndex, false);
+    FinishReconciliation(aReconciliation, aIndex, false);
     return;
   }
   const bool found =
     !write.record_.empty() && aRange && !aRange.value().records_.empty();
   if (found) {
     if (aRange.value().records_.front().value_ == write.record_) {
-      LogResults(write, aSettling->batch_.items_[aIndex].size());
-      job->ledger_.OnListed(aSettling->batch_.items_[aIndex]);
+      LogResults(write, aReconciliation->batch_.items_[aIndex].size());
+      job->ledger_.OnListed(aReconciliation->batch_.items_[aIndex]);
       if (onListed_) {
         onListed_(write.job_);
       }
     } else {
       Drop(write.job_);
     }
-    EndSettling(aSettling, aIndex, false);
+    FinishReconciliation(aReconciliation, aIndex, false);
     return;
   }
   store_.ReadOwner(
     write.job_,
-    [this, aSettling, aIndex](
+    [this, aReconciliation, aIndex](
       const Result<std::optional<StoreRecord>>& aOwner) {
-      const ResultsWrite& lost = aSettling->batch_.writes_[aIndex];
+      const ResultsWrite& lost = aReconciliation->batch_.writes_[aIndex];
       const bool replaced =
         aOwner &&
         (!aOwner.value() || aOwner.value()->modRevision_ != lost.fence_.Get());
       if (replaced && WriterOf(lost) != nullptr) {
         Drop(lost.job_);
       }
-      EndSettling(aSettling, aIndex, !replaced);
+      FinishReconciliation(aReconciliation, aIndex, !replaced);
     });
 }
 
 void
-JobRunner::EndSettling(const std::shared_ptr<Settling>& aSettling,
-                       std::size_t aIndex,
-                       bool aAgain)
+JobRunner::FinishReconciliation(
+  const std::shared_ptr<Reconciliation>& aReconciliation,
+  std::size_t aIndex,
+  bool aAgain)
 {
-  const ResultsWrite& write = aSettling->batch_.writes_[aIndex];
+  const ResultsWrite& write = aReconciliation->batch_.writes_[aIndex];
   if (aAgain && !write.record_.empty()) {
     batch_->writes_.push_back(write);
-    batch_->items_.push_back(aSettling->batch_.items_[aIndex]);
+    batch_->items_.push_back(aReconciliation->batch_.items_[aIndex]);
   }
-  if (--aSettling->left_ > 0) {
+  if (--aReconciliation->pending_ > 0) {
     return;
   }
   if (!batch_->writes_.empty()) {
-    host_.Timers().After(kFlushAgain, [this] { SendBatch(); });
+    host_.Timers().After(kFlushRetryDelay, [this] { SendBatch(); });
     return;
   }
   batch_.reset();
-  PlanFlush();
-  if (givingBack_) {
-    GiveBackJobs();
+  ScheduleFlush();
+  if (releasing_) {
+    ReleaseJobs();
   }
 }
 
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -11,19 +11,19 @@
 /// A stream that makes nothing for so many times its upstream's pace moves to
 /// another with room: a change of weights holds runs up for 0.9 s, and going
 /// on elsewhere reads the prompt again in some milliseconds.
-constexpr std::int64_t kStallPaces = 6;
-constexpr auto kLeastStall = std::chrono::milliseconds(200);
+constexpr std::int64_t kStallPaceFactor = 6;
+constexpr auto kMinStall = std::chrono::milliseconds(200);
 /// A stream that has not begun may wait for a slot at its upstream, where
 /// others sent items too; moving it would put it at the end of another queue.
-constexpr auto kFirstSilence = std::chrono::milliseconds(3000);
+constexpr auto kFirstEventTimeout = std::chrono::milliseconds(3000);
 /// A stream that has not begun moves after this time already if its upstream
 /// lets nothing be heard at all and another has room: a zone that is cut off
 /// is full of such upstreams.
-constexpr auto kQuietSilence = std::chrono::milliseconds(600);
+constexpr auto kUnresponsiveTimeout = std::chrono::milliseconds(600);
 /// Most texts are done by then; one that is not takes some seconds more.
-constexpr auto kLongRun = std::chrono::milliseconds(1200);
+constexpr auto kLongRunAge = std::chrono::milliseconds(1200);
 /// How often runs are looked at while there are any.
-constexpr auto kCheckPause = std::chrono::milliseconds(120);
+constexpr auto kRunCheckInterval = std::chrono::milliseconds(120);
 
 } // namespace
 
@@ -75,9 +75,9 @@
 }
 
 const TrackedUpstream&
-JobRunner::Apart(Fingerprint aFingerprint,
-                 const OwnedJob& aJob,
-                 const TrackedUpstream& aPicked) const
+JobRunner::PickSeparate(Fingerprint aFingerprint,
+                        const OwnedJob& aJob,
+                        const TrackedUpstream& aPicked) const
 {
   const RequestQuarantine& crashes = forwarder_.Crashes();
   if (crashes.IsApart(aFingerprint, aPicked.entry_.id_)) {
@@ -109,7 +109,7 @@
     // It waits; others of its job go on.
     return false;
   }
-  const TrackedUpstream& upstream = Apart(fingerprint, aJob, aUpstream);
+  const TrackedUpstream& upstream = PickSeparate(fingerprint, aJob, aUpstream);
   const RunId id = ++lastRun_;
   Run& run = runs_[id];
   run.fingerprint_ = fingerprint;
@@ -120,7 +120,7 @@
   run.lastProgress_ = host_.Now();
   run.started_ = host_.Now();
   aJob.runs_[aItem] = id;
-  aJob.places_[item.group_] = run.upstream_;
+  aJob.groupUpstreams_[item.group_] = run.upstream_;
   LogEvent(
     LogLevel::Debug,
     "item_sent",
@@ -142,7 +142,7 @@
     host_.Client().Send(std::move(call), [this, id](const HttpResult& aResult) {
       OnRunEnd(id, aResult);
     });
-  WatchRuns();
+  ScheduleRunCheck();
   return true;
 }
 
@@ -161,7 +161,7 @@
   run.status_ = aStatus;
   run.notRun_ = FindHeader(aHeaders, names.notRun_).has_value();
   // As for requests (`Forwarder::Doubt`); a second answer without an id might
-  // even prove a text whole that is not.
+  // even prove a text complete that is not.
   if (echo.value_or("") != item.id_.Get()) {
     run.fault_ = echo ? "the answer belongs to another request"
                       : "the answer does not name the item";
@@ -233,19 +233,19 @@
   const JobId id = run.job_;
   OwnedJob& job = jobs_.at(id);
   job.runs_.erase(run.item_);
-  SettleRun(run, job, aResult);
+  FinishRun(run, job, aResult);
   Advance(id, job);
 }
 
 void
-JobRunner::SettleRun(const Run& aRun, OwnedJob& aJob, const HttpResult& aResult)
+JobRunner::FinishRun(const Run& aRun, OwnedJob& aJob, const HttpResult& aResult)
 {
   const TimePoint now = host_.Now();
-  const bool whole = aResult.end_ == HttpEnd::Whole && aRun.fault_.empty();
+  const bool complete = aResult.end_ == HttpEnd::Whole && aRun.fault_.empty();
   if (aResult.opened_) {
     host_.Measures().Count("upstream_connections_total{for=\"items\"}");
   }
-  const bool ran = whole && !aRun.notRun_ && aRun.status_ != 421;
+  const bool ran = complete && !aRun.notRun_ && aRun.status_ != 421;
   // What crashes an upstream does so as it begins: a run with events did not.
   // A text takes 7 s, so that two deaths of other causes hit one now and then.
   const bool broken = aResult.end_ == HttpEnd::Broken && aRun.events_ == 0;
@@ -254,7 +254,7 @@
                              ran      ? CallEnd::Answered
                              : broken ? CallEnd::Broken
                                       : CallEnd::Other);
-  if (whole && aRun.status_ == 200 && !aRun.parser_.Partial() &&
+  if (complete && aRun.status_ == 200 && !aRun.parser_.Partial() &&
       aRun.events_ > 0) {
     upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     host_.Measures().Count("runs_whole_total");
@@ -269,7 +269,7 @@
                { "first_on_connection", aResult.opened_ ? "yes" : "no" } });
     return;
   }
-  if (whole && aRun.status_ == 200 && !aRun.parser_.Partial()) {
+  if (complete && aRun.status_ == 200 && !aRun.parser_.Partial()) {
     const bool none = aJob.ledger_.Text(aRun.item_).lastEvent_ == 0;
     upstreamTable_.OnEnd(
       aRun.upstream_, none ? CallVerdict::Failed : CallVerdict::Answered, now);
@@ -293,16 +293,16 @@
              { "error", aResult.message_ },
              { "port", std::to_string(aResult.localPort_) },
              { "first_on_connection", aResult.opened_ ? "yes" : "no" } });
-  if (whole && (aRun.notRun_ || aRun.status_ == 421)) {
+  if (complete && (aRun.notRun_ || aRun.status_ == 421)) {
     if (aRun.status_ == 421) {
       upstreamTable_.OnReplaced(aRun.upstream_, now);
     }
     upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Loading, now);
     aJob.ledger_.OnInterrupted(aRun.item_);
-  } else if (whole && aRun.status_ == 500) {
+  } else if (complete && aRun.status_ == 500) {
     upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     aJob.ledger_.OnRunFailed(aRun.item_, now);
-  } else if (whole && aRun.status_ == 422) {
+  } else if (complete && aRun.status_ == 422) {
     upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
     aJob.ledger_.OnPermanentFailure(aRun.item_, now);
   } else {
@@ -360,7 +360,7 @@
 {
   std::map<UpstreamId, std::uint32_t> runs;
   for (const auto& [id, run] : runs_) {
-    if (host_.Now() - run.started_ >= Duration{ kLongRun }) {
+    if (host_.Now() - run.started_ >= Duration{ kLongRunAge }) {
       ++runs[run.upstream_];
     }
   }
@@ -368,10 +368,10 @@
 }
 
 void
-JobRunner::WatchRuns()
+JobRunner::ScheduleRunCheck()
 {
   if (checkTimer_ == 0) {
-    checkTimer_ = host_.Timers().After(kCheckPause, [this] {
+    checkTimer_ = host_.Timers().After(kRunCheckInterval, [this] {
       checkTimer_ = 0;
       CheckRuns();
     });
@@ -386,16 +386,16 @@
     return false;
   }
   const Duration stall =
-    std::max<Duration>(kLeastStall, upstream->pace_ * kStallPaces);
+    std::max<Duration>(kMinStall, upstream->pace_ * kStallPaceFactor);
   return host_.Now() - aRun.lastProgress_ > stall;
 }
 
 bool
-JobRunner::Ignored(const Run& aRun) const
+JobRunner::Unanswered(const Run& aRun) const
 {
   const TrackedUpstream* upstream = upstreamTable_.Find(aRun.upstream_);
   return upstream != nullptr && aRun.events_ == 0 &&
-         host_.Now() - aRun.lastProgress_ > Duration{ kQuietSilence } &&
+         host_.Now() - aRun.lastProgress_ > Duration{ kUnresponsiveTimeout } &&
          upstreamTable_.Unresponsive(*upstream, host_.Now());
 }
 
@@ -403,7 +403,7 @@
 JobRunner::ShouldMove(const Run& aRun) const
 {
   if (!upstreamTable_.Slow(aRun.upstream_) && !Stalled(aRun) &&
-      !Ignored(aRun)) {
+      !Unanswered(aRun)) {
     return false;
   }
   const OwnedJob& job = jobs_.at(aRun.job_);
@@ -426,25 +426,25 @@
   }
   // A run that was ignored needs proof that the other is better: it was heard
   // while this one waited.
-  return !Ignored(aRun) || other->lastReceivedAt_ > aRun.lastProgress_;
+  return !Unanswered(aRun) || other->lastReceivedAt_ > aRun.lastProgress_;
 }
 
 void
 JobRunner::CheckRuns()
 {
   const TimePoint now = host_.Now();
-  std::vector<RunId> silent;
+  std::vector<RunId> idle;
   std::vector<RunId> slow;
   for (const auto& [id, run] : runs_) {
-    const Duration allowed =
-      run.events_ == 0 ? Duration{ kFirstSilence } : Duration{ kStreamSilence };
+    const Duration allowed = run.events_ == 0 ? Duration{ kFirstEventTimeout }
+                                              : Duration{ kStreamSilence };
     if (now - run.lastProgress_ > allowed) {
-      silent.push_back(id);
+      idle.push_back(id);
     } else if (ShouldMove(run)) {
       slow.push_back(id);
     }
   }
-  for (const RunId id : silent) {
+  for (const RunId id : idle) {
     const Run& run = runs_.at(id);
     LogEvent(
       LogLevel::Info,
@@ -471,13 +471,13 @@
         { "events", std::to_string(run.events_) } });
     jobs_.at(run.job_).avoided_[run.item_] = run.upstream_;
     // One that stands still gets no other item for a while.
-    const bool still = Stalled(run) || Ignored(run);
+    const bool still = Stalled(run) || Unanswered(run);
     StopRun(id, still ? CallVerdict::Loading : CallVerdict::Abandoned);
     Dispatch();
   }
   Dispatch();
   if (!runs_.empty()) {
-    WatchRuns();
+    ScheduleRunCheck();
   }
 }
 
--- a/src/programs/gatewayd/job_store.cpp
+++ b/src/programs/gatewayd/job_store.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kPartBytes = 700U * 1024U;
 
 /// Removals in one transaction; the store takes 32 entries.
-constexpr std::size_t kRemovalsAtOnce = 30;
+constexpr std::size_t kMaxRemovalsPerTxn = 30;
 
 void
 SortByKey(std::vector<StoreRecord>& aRecords)
@@ -40,7 +40,7 @@
 /// `BadInput` is for what is stored; an answer that makes no sense says nothing
 /// of that, and the next one may.
 Error
-NotRead(const Error& aError)
+ToReadError(const Error& aError)
 {
   return { aError.kind_ == ErrorKind::BadInput ? ErrorKind::Internal
                                                : aError.kind_,
@@ -72,9 +72,9 @@
 }
 
 std::string
-Life(const std::string& aIncarnation)
+Liveness(const std::string& aIncarnation)
 {
-  return kLives + aIncarnation;
+  return kLiveness + aIncarnation;
 }
 
 std::string
@@ -152,40 +152,43 @@
         0 });
   }
   txn.puts_.push_back({ job_keys::Owner(aJob), owner, 0 });
-  store_.Commit(
-    std::move(txn),
-    [this, aJob, owner, done = std::move(aDone)](
-      const Result<StoreCommit>& aCommit) {
-      if (aCommit && aCommit.value().applied_) {
-        done(
-          { AcceptEnd::Accepted, FencingNumber{ aCommit.value().revision_ } });
-      } else if (!aCommit && aCommit.error().kind_ == ErrorKind::Unavailable) {
-        done({ AcceptEnd::Refused, {} });
-      } else {
-        SettleAccept(
-          aJob, owner, done, aCommit ? AcceptEnd::Refused : AcceptEnd::Unknown);
-      }
-    });
+  store_.Commit(std::move(txn),
+                [this, aJob, owner, done = std::move(aDone)](
+                  const Result<StoreCommit>& aCommit) {
+                  if (aCommit && aCommit.value().applied_) {
+                    done({ AcceptOutcome::Accepted,
+                           FencingNumber{ aCommit.value().revision_ } });
+                  } else if (!aCommit &&
+                             aCommit.error().kind_ == ErrorKind::Unavailable) {
+                    done({ AcceptOutcome::Refused, {} });
+                  } else {
+                    ResolveAccept(aJob,
+                                  owner,
+                                  done,
+                                  aCommit ? AcceptOutcome::Refused
+                                          : AcceptOutcome::Unknown);
+                  }
+                });
 }
 
 void
-JobStore::SettleAccept(const JobId& aJob,
-                       std::string aRecord,
-                       std::function<void(AcceptResult)> aDone,
-                       AcceptEnd aIfAbsent)
+JobStore::ResolveAccept(const JobId& aJob,
+                        std::string aRecord,
+                        std::function<void(AcceptResult)> aDone,
+                        AcceptOutcome aIfAbsent)
 {
   ReadOwner(aJob,
             [record = std::move(aRecord), done = std::move(aDone), aIfAbsent](
               const Result<std::optional<StoreRecord>>& aOwner) {
               if (!aOwner) {
-                done({ AcceptEnd::Unknown, {} });
+                done({ AcceptOutcome::Unknown, {} });
               } else if (!aOwner.value()) {
                 done({ aIfAbsent, {} });
               } else if (aOwner.value()->value_ == record) {
-                done({ AcceptEnd::Accepted,
+                done({ AcceptOutcome::Accepted,
                        FencingNumber{ aOwner.value()->modRevision_ } });
               } else {
-                done({ AcceptEnd::Known, {} });
+                done({ AcceptOutcome::Known, {} });
               }
             });
 }
@@ -220,7 +223,7 @@
                 if (aParts) {
                   done(JoinSubmission(aParts.value().records_));
                 } else {
-                  done(NotRead(aParts.error()));
+                  done(ToReadError(aParts.error()));
                 }
               });
 }
@@ -240,7 +243,7 @@
                   [this, aJob, done, submission = aSubmission.value()](
                     const Result<StoreRange>& aRecords) {
                     if (!aRecords) {
-                      done(NotRead(aRecords.error()));
+                      done(ToReadError(aRecords.error()));
                       return;
                     }
                     auto results = JoinResults(aJob, aRecords.value().records_);
@@ -258,15 +261,15 @@
 
 void
 JobStore::LoadPartials(const JobId& aJob,
-                       StoredJob aSoFar,
+                       StoredJob aLoaded,
                        StoreDone<StoredJob> aDone)
 {
   const std::string key = job_keys::Partials(aJob);
   store_.Read(key,
-              [key, job = std::move(aSoFar), done = std::move(aDone)](
+              [key, job = std::move(aLoaded), done = std::move(aDone)](
                 const Result<StoreRange>& aRange) mutable {
                 if (!aRange) {
-                  done(NotRead(aRange.error()));
+                  done(ToReadError(aRange.error()));
                   return;
                 }
                 for (const StoreRecord& record : aRange.value().records_) {
@@ -312,7 +315,7 @@
 
 void
 JobStore::WriteResults(const std::vector<ResultsWrite>& aWrites,
-                       std::function<void(WriteEnd)> aDone)
+                       std::function<void(WriteOutcome)> aDone)
 {
   StoreTxn txn;
   for (const ResultsWrite& write : aWrites) {
@@ -322,9 +325,9 @@
 }
 
 void
-JobStore::GiveBack(const ResultsWrite& aWrite,
-                   const JobOwnerRecord& aRecord,
-                   std::function<void(WriteEnd)> aDone)
+JobStore::Release(const ResultsWrite& aWrite,
+                  const JobOwnerRecord& aRecord,
+                  std::function<void(WriteOutcome)> aDone)
 {
   StoreTxn txn;
   AddWrite(txn, aWrite);
@@ -350,18 +353,19 @@
 }
 
 void
-JobStore::CommitWrites(StoreTxn aTxn, std::function<void(WriteEnd)> aDone)
+JobStore::CommitWrites(StoreTxn aTxn, std::function<void(WriteOutcome)> aDone)
 {
-  store_.Commit(
-    std::move(aTxn),
-    [done = std::move(aDone)](const Result<StoreCommit>& aEnd) {
-      if (!aEnd) {
-        done(aEnd.error().kind_ == ErrorKind::Unavailable ? WriteEnd::Refused
-                                                          : WriteEnd::Unknown);
-      } else {
-        done(aEnd.value().applied_ ? WriteEnd::Written : WriteEnd::Fenced);
-      }
-    });
+  store_.Commit(std::move(aTxn),
+                [done = std::move(aDone)](const Result<StoreCommit>& aEnd) {
+                  if (!aEnd) {
+                    done(aEnd.error().kind_ == ErrorKind::Unavailable
+                           ? WriteOutcome::Refused
+                           : WriteOutcome::Unknown);
+                  } else {
+                    done(aEnd.value().applied_ ? WriteOutcome::Written
+                                               : WriteOutcome::Fenced);
+                  }
+                });
 }
 
 void
@@ -403,10 +407,11 @@
 void
 JobStore::RemoveKeys(const JobId& aJob, std::vector<std::string> aKeys)
 {
-  constexpr std::size_t kLast = 2;
-  const std::size_t count = aKeys.size() <= kRemovalsAtOnce
-                              ? aKeys.size()
-                              : std::min(kRemovalsAtOnce, aKeys.size() - kLast);
+  constexpr std::size_t kFinalKeys = 2;
+  const std::size_t count =
+    aKeys.size() <= kMaxRemovalsPerTxn
+      ? aKeys.size()
+      : std::min(kMaxRemovalsPerTxn, aKeys.size() - kFinalKeys);
   const auto rest = aKeys.begin() + static_cast<std::ptrdiff_t>(count);
   StoreTxn txn;
   txn.deletes_.assign(aKeys.begin(), rest);
--- a/src/programs/gatewayd/job_store.hpp
+++ b/src/programs/gatewayd/job_store.hpp
@@ -17,7 +17,7 @@
 inline constexpr const char* kControl = "mt/c/";
 inline constexpr const char* kOwners = "mt/c/own/";
 inline constexpr const char* kEnds = "mt/c/end/";
-inline constexpr const char* kLives = "mt/c/live/";
+inline constexpr const char* kLiveness = "mt/c/live/";
 inline constexpr const char* kSubmissions = "mt/spec/";
 inline constexpr const char* kResults = "mt/res/";
 inline constexpr const char* kPartials = "mt/part/";
@@ -27,7 +27,7 @@
 [[nodiscard]] std::string
 End(const JobId& aJob);
 [[nodiscard]] std::string
-Life(const std::string& aIncarnation);
+Liveness(const std::string& aIncarnation);
 /// Prefix of the parts of a submission.
 [[nodiscard]] std::string
 Submission(const JobId& aJob);
@@ -44,7 +44,7 @@
 } // namespace job_keys
 
 /// How an acceptance ended.
-enum class AcceptEnd
+enum class AcceptOutcome
 {
   Accepted,
   /// The job was accepted before.
@@ -58,7 +58,7 @@
 /// What came of an acceptance.
 struct AcceptResult
 {
-  AcceptEnd end_ = AcceptEnd::Unknown;
+  AcceptOutcome outcome_ = AcceptOutcome::Unknown;
   FencingNumber fence_;
 };
 
@@ -83,7 +83,7 @@
 };
 
 /// How a write of results ended.
-enum class WriteEnd
+enum class WriteOutcome
 {
   Written,
   /// Nothing was written; try again.
@@ -118,11 +118,11 @@
                    FencingNumber aKnown,
                    StoreDone<std::optional<FencingNumber>> aDone);
   void WriteResults(const std::vector<ResultsWrite>& aWrites,
-                    std::function<void(WriteEnd)> aDone);
+                    std::function<void(WriteOutcome)> aDone);
   /// Writes the last results of an owner that gives the job back.
-  void GiveBack(const ResultsWrite& aWrite,
-                const JobOwnerRecord& aRecord,
-                std::function<void(WriteEnd)> aDone);
+  void Release(const ResultsWrite& aWrite,
+               const JobOwnerRecord& aRecord,
+               std::function<void(WriteOutcome)> aDone);
   void End(const JobId& aJob, std::function<void(bool)> aDone);
   /// Removes all records of a job. What failed is logged; as long as the job's
   /// owner record stands, it can be removed again.
@@ -130,14 +130,14 @@
 
 private:
   static void AddWrite(StoreTxn& aTxn, const ResultsWrite& aWrite);
-  void CommitWrites(StoreTxn aTxn, std::function<void(WriteEnd)> aDone);
+  void CommitWrites(StoreTxn aTxn, std::function<void(WriteOutcome)> aDone);
   void LoadPartials(const JobId& aJob,
-                    StoredJob aSoFar,
+                    StoredJob aLoaded,
                     StoreDone<StoredJob> aDone);
-  void SettleAccept(const JobId& aJob,
-                    std::string aRecord,
-                    std::function<void(AcceptResult)> aDone,
-                    AcceptEnd aIfAbsent);
+  void ResolveAccept(const JobId& aJob,
+                     std::string aRecord,
+                     std::function<void(AcceptResult)> aDone,
+                     AcceptOutcome aIfAbsent);
   void RemoveKeys(const JobId& aJob, std::vector<std::string> aKeys);
 
   GatewayContext& host_;
--- a/src/programs/gatewayd/partial_texts.cpp
+++ b/src/programs/gatewayd/partial_texts.cpp
@@ -8,7 +8,7 @@
   if (texts_.insert_or_assign(aItem, std::move(aText)).second) {
     order_.push_back(aItem);
   }
-  while (order_.size() > kMost) {
+  while (order_.size() > kMaxTexts) {
     texts_.erase(order_.front());
     order_.pop_front();
   }
--- a/src/programs/gatewayd/partial_texts.hpp
+++ b/src/programs/gatewayd/partial_texts.hpp
@@ -14,7 +14,7 @@
 {
 public:
   /// Most texts kept: some steps of a large trainer.
-  static constexpr std::size_t kMost = 2048;
+  static constexpr std::size_t kMaxTexts = 2048;
 
   void Put(const ItemId& aItem, PartialText aText);
   /// Takes the text of an item out, if there is one.
--- a/src/programs/gatewayd/remote_results.cpp
+++ b/src/programs/gatewayd/remote_results.cpp
@@ -11,7 +11,7 @@
 
 /// What nobody has asked for here for this long is forgotten; readers come
 /// about twice a second.
-constexpr auto kForgetAfter = std::chrono::seconds(6);
+constexpr auto kRetention = std::chrono::seconds(6);
 /// An owner that does not answer in this time is passed over.
 constexpr auto kOwnerTimeout = std::chrono::milliseconds(300);
 
@@ -23,11 +23,11 @@
 }
 
 const std::vector<JobResult>&
-RemoteResults::Of(const JobId& aJob) const
+RemoteResults::ResultsOf(const JobId& aJob) const
 {
   static const std::vector<JobResult> kNone;
-  const auto it = known_.find(aJob);
-  return it == known_.end() ? kNone : it->second.results_;
+  const auto it = cache_.find(aJob);
+  return it == cache_.end() ? kNone : it->second.results_;
 }
 
 void
@@ -36,24 +36,24 @@
                        Duration aWait,
                        std::function<void(bool)> aDone)
 {
-  known_[aJob].lastRead_ = host_.Now();
-  if (forgetTimer_ == 0) {
-    forgetTimer_ = host_.Timers().After(kForgetAfter, [this] { ForgetOld(); });
+  cache_[aJob].lastRequested_ = host_.Now();
+  if (evictTimer_ == 0) {
+    evictTimer_ = host_.Timers().After(kRetention, [this] { EvictIdle(); });
   }
   if (aOwner.empty()) {
-    AskStore(aJob, std::move(aDone));
+    QueryStore(aJob, std::move(aDone));
   } else {
-    AskOwner(aJob, aOwner, aWait, std::move(aDone));
+    QueryOwner(aJob, aOwner, aWait, std::move(aDone));
   }
 }
 
 void
-RemoteResults::AskOwner(const JobId& aJob,
-                        const std::string& aOwner,
-                        Duration aWait,
-                        std::function<void(bool)> aDone)
+RemoteResults::QueryOwner(const JobId& aJob,
+                          const std::string& aOwner,
+                          Duration aWait,
+                          std::function<void(bool)> aDone)
 {
-  const std::uint64_t after = known_[aJob].results_.size();
+  const std::uint64_t after = cache_[aJob].results_.size();
   RpcCall call;
   call.topic_ = RpcTopic::Job;
   call.timeout_ = kOwnerTimeout + aWait;
@@ -66,9 +66,9 @@
         aReply ? DecodeJobAnswer(aReply.value()) : Result<std::string>(aReply);
       auto results = answer ? ReadResultsRecord(answer.value())
                             : Result<std::vector<JobResult>>(answer.error());
-      const auto it = known_.find(aJob);
-      if (!results || it == known_.end()) {
-        AskStore(aJob, done);
+      const auto it = cache_.find(aJob);
+      if (!results || it == cache_.end()) {
+        QueryStore(aJob, done);
         return;
       }
       Append(it->second, after, std::move(results).value());
@@ -77,43 +77,43 @@
 }
 
 void
-RemoteResults::AskStore(const JobId& aJob, std::function<void(bool)> aDone)
+RemoteResults::QueryStore(const JobId& aJob, std::function<void(bool)> aDone)
 {
   // Records begin where the ones before them end.
-  const std::size_t held = known_[aJob].results_.size();
+  const std::size_t held = cache_[aJob].results_.size();
   const std::string lastKey =
     held == 0 ? std::string() : job_keys::ResultsAt(aJob, held - 1);
   host_.PlatformStore().ReadAfter(
     job_keys::Results(aJob),
     lastKey,
     [this, aJob, done = std::move(aDone)](const Result<StoreRange>& aRange) {
-      const auto it = known_.find(aJob);
-      done(aRange && it != known_.end() &&
-           TakeRecords(aJob, it->second, aRange.value().records_));
+      const auto it = cache_.find(aJob);
+      done(aRange && it != cache_.end() &&
+           AppendRecords(aJob, it->second, aRange.value().records_));
     });
 }
 
 void
-RemoteResults::Append(Known& aKnown,
+RemoteResults::Append(CachedJob& aCached,
                       std::uint64_t aPosition,
                       std::vector<JobResult> aResults)
 {
   // Another reading may have been faster.
-  const std::size_t held = aKnown.results_.size();
+  const std::size_t held = aCached.results_.size();
   if (aPosition > held || aPosition + aResults.size() <= held) {
     return;
   }
   std::move(aResults.begin() + static_cast<std::ptrdiff_t>(held - aPosition),
             aResults.end(),
-            std::back_inserter(aKnown.results_));
+            std::back_inserter(aCached.results_));
 }
 
 /// What cannot be read is not taken for what is not there: a reader may have
 /// seen it elsewhere.
 bool
-RemoteResults::TakeRecords(const JobId& aJob,
-                           Known& aKnown,
-                           std::vector<StoreRecord> aRecords)
+RemoteResults::AppendRecords(const JobId& aJob,
+                             CachedJob& aCached,
+                             std::vector<StoreRecord> aRecords)
 {
   std::sort(aRecords.begin(),
             aRecords.end(),
@@ -121,7 +121,7 @@
               return aLeft.key_ < aRight.key_;
             });
   for (const StoreRecord& record : aRecords) {
-    const std::size_t held = aKnown.results_.size();
+    const std::size_t held = aCached.results_.size();
     const std::string next = job_keys::ResultsAt(aJob, held);
     if (record.key_ < next) {
       // Another reading was faster.
@@ -141,20 +141,20 @@
         { { "key", record.key_ }, { "error", results.error().message_ } });
       return false;
     }
-    Append(aKnown, held, std::move(results).value());
+    Append(aCached, held, std::move(results).value());
   }
   return true;
 }
 
 void
-RemoteResults::ForgetOld()
+RemoteResults::EvictIdle()
 {
-  std::erase_if(known_, [this](const auto& aEntry) {
-    return host_.Now() - aEntry.second.lastRead_ > kForgetAfter;
+  std::erase_if(cache_, [this](const auto& aEntry) {
+    return host_.Now() - aEntry.second.lastRequested_ > kRetention;
   });
-  forgetTimer_ = known_.empty() ? 0
-                                : host_.Timers().After(kForgetAfter,
-                                                       [this] { ForgetOld(); });
+  evictTimer_ = cache_.empty()
+                  ? 0
+                  : host_.Timers().After(kRetention, [this] { EvictIdle(); });
 }
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/remote_results.hpp
+++ b/src/programs/gatewayd/remote_results.hpp
@@ -23,33 +23,34 @@
                const std::string& aOwner,
                Duration aWait,
                std::function<void(bool aRead)> aDone);
-  [[nodiscard]] const std::vector<JobResult>& Of(const JobId& aJob) const;
+  [[nodiscard]] const std::vector<JobResult>& ResultsOf(
+    const JobId& aJob) const;
 
 private:
-  struct Known
+  struct CachedJob
   {
     std::vector<JobResult> results_;
-    TimePoint lastRead_;
+    TimePoint lastRequested_;
   };
 
-  void AskStore(const JobId& aJob, std::function<void(bool aRead)> aDone);
-  void AskOwner(const JobId& aJob,
-                const std::string& aOwner,
-                Duration aWait,
-                std::function<void(bool aRead)> aDone);
+  void QueryStore(const JobId& aJob, std::function<void(bool aRead)> aDone);
+  void QueryOwner(const JobId& aJob,
+                  const std::string& aOwner,
+                  Duration aWait,
+                  std::function<void(bool aRead)> aDone);
   /// Appends results that stand from a position on.
-  static void Append(Known& aKnown,
+  static void Append(CachedJob& aCached,
                      std::uint64_t aPosition,
                      std::vector<JobResult> aResults);
   /// @returns whether all records were read, none missing before another
-  static bool TakeRecords(const JobId& aJob,
-                          Known& aKnown,
-                          std::vector<StoreRecord> aRecords);
-  void ForgetOld();
+  static bool AppendRecords(const JobId& aJob,
+                            CachedJob& aCached,
+                            std::vector<StoreRecord> aRecords);
+  void EvictIdle();
 
   GatewayContext& host_;
-  std::map<JobId, Known> known_;
-  LoopTimerId forgetTimer_ = 0;
+  std::map<JobId, CachedJob> cache_;
+  LoopTimerId evictTimer_ = 0;
 };
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/usage_service.cpp
+++ b/src/programs/gatewayd/usage_service.cpp
@@ -32,7 +32,7 @@
   usage.clockAhead_ = host_.WallTime() - aAsk.now_.sinceEpoch_;
   usage.counts_ =
     forwarder_.Usage().Counts(host_.Now(), aAsk.now_, aAsk.window_);
-  usage.demand_ = runner_.PlacesWanted();
+  usage.demand_ = runner_.SlotsWanted();
   usage.modelDemand_ = runner_.TakeModelDemand();
   usage.longRuns_ = runner_.LongRuns();
   for (const auto& [service, requests] : forwarder_.InProgress()) {
--- a/tests/job_fixture.hpp
+++ b/tests/job_fixture.hpp
@@ -89,7 +89,7 @@
                  submission_,
                  static_cast<std::uint64_t>(aItems),
                  [this](AcceptResult aResult) {
-                   REQUIRE(aResult.end_ == AcceptEnd::Accepted);
+                   REQUIRE(aResult.outcome_ == AcceptOutcome::Accepted);
                    fence_ = aResult.fence_;
                  });
     timers_.Advance(10ms);
--- a/tests/job_play.cpp
+++ b/tests/job_simulation.cpp
@@ -1,4 +1,4 @@
-#include "job_play.hpp"
+#include "job_simulation.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -10,13 +10,13 @@
 
 constexpr std::size_t kProcesses = 5;
 constexpr auto kStep = 20ms;
-constexpr auto kPlayed = 30s;
+constexpr auto kDuration = 30s;
 /// A process without a fault for so long has to keep all promises.
-constexpr auto kContact = 3s;
+constexpr auto kSettledAfter = 3s;
 /// What was read has to be told by all others after this time.
-constexpr auto kSettle = 1s;
+constexpr auto kVisibleWithin = 1s;
 /// Longest time for which a relay that is gone leaves others untold.
-constexpr std::uint64_t kLongestLagMillis = 1650;
+constexpr std::uint64_t kMaxLagMillis = 1650;
 constexpr auto kIdleLease = 12s;
 
 std::string
@@ -27,20 +27,20 @@
 
 } // namespace
 
-PlayedProcess::PlayedProcess(GatewayFakes& aFakes,
-                             const std::string& aInstance,
-                             const std::string& aAddress,
-                             int aRun)
+SimulatedProcess::SimulatedProcess(GatewayFakes& aFakes,
+                                   const std::string& aInstance,
+                                   const std::string& aAddress,
+                                   int aRun)
   : incarnation_(aInstance + "~" + std::to_string(aRun))
   , store_(aFakes.store_, aFakes.timers_)
   , site_(aFakes, store_, incarnation_)
-  , life_(store_,
-          aFakes.timers_,
-          aFakes.clock_,
-          { job_keys::Life(incarnation_),
-            WriteLivenessRecord({ ZoneId{ "z1" }, aAddress }),
-            kIdleLease,
-            false })
+  , liveness_(store_,
+              aFakes.timers_,
+              aFakes.clock_,
+              { job_keys::Liveness(incarnation_),
+                WriteLivenessRecord({ ZoneId{ "z1" }, aAddress }),
+                kIdleLease,
+                false })
 {
   for (int i = 0; i < 3; ++i) {
     UpstreamEntry entry;
@@ -56,7 +56,7 @@
   }
 }
 
-JobPlay::JobPlay(std::uint64_t aSeed)
+JobSimulation::JobSimulation(std::uint64_t aSeed)
   : seed_(aSeed)
   , random_(aSeed)
   , processes_(kProcesses)
@@ -65,7 +65,7 @@
 }
 
 void
-JobPlay::Broken(const std::string& aWhat)
+JobSimulation::AddViolation(const std::string& aWhat)
 {
   violations_.push_back("seed " + std::to_string(seed_) + " at " +
                         std::to_string(WholeMillis(Now() - TimePoint{})) +
@@ -73,48 +73,48 @@
 }
 
 bool
-JobPlay::InTouch(std::size_t aProcess) const
+JobSimulation::IsSettled(std::size_t aProcess) const
 {
   const auto& process = processes_[aProcess];
-  return process && Now() - process->touched_ >= kContact;
+  return process && Now() - process->lastFaultAt_ >= kSettledAfter;
 }
 
 void
-JobPlay::StartProcess(std::size_t aIndex)
+JobSimulation::StartProcess(std::size_t aIndex)
 {
-  auto process = std::make_unique<PlayedProcess>(
+  auto process = std::make_unique<SimulatedProcess>(
     fakes_, "p" + std::to_string(aIndex), AddressOf(aIndex), ++runs_[aIndex]);
-  PlayedProcess& started = *process;
-  started.touched_ = Now();
+  SimulatedProcess& started = *process;
+  started.lastFaultAt_ = Now();
   started.store_.now_ = [this] { return Now(); };
   started.store_.onLease_ = [this](StoreLeaseId aLease, TimePoint aEnd) {
     leases_[aLease] = aEnd;
   };
-  started.site_.runner_.onOwning_ = [this, &started](bool aOwning) {
-    started.life_.SetTtl(aOwning ? fakes_.settings_.leaseTtl_
-                                 : Duration{ kIdleLease });
+  started.site_.runner_.onUnfinishedChanged_ = [this, &started](bool aOwning) {
+    started.liveness_.SetTtl(aOwning ? fakes_.settings_.leaseTtl_
+                                     : Duration{ kIdleLease });
   };
   processes_[aIndex] = std::move(process);
   Link();
-  started.life_.Start();
+  started.liveness_.Start();
   started.site_.directory_.Start();
 }
 
 void
-JobPlay::Kill(std::size_t aIndex)
+JobSimulation::Kill(std::size_t aIndex)
 {
   if (!processes_[aIndex]) {
     return;
   }
   processes_[aIndex]->store_.SetCut(true);
   processes_[aIndex]->site_.peers_.cut_ = true;
-  dead_.push_back(std::move(processes_[aIndex]));
+  killed_.push_back(std::move(processes_[aIndex]));
   Link();
   fakes_.timers_.After(500ms, [this, aIndex] { StartProcess(aIndex); });
 }
 
 void
-JobPlay::Link()
+JobSimulation::Link()
 {
   for (auto& process : processes_) {
     if (!process) {
@@ -131,7 +131,7 @@
 }
 
 void
-JobPlay::AnswerCalls()
+JobSimulation::AnswerCalls()
 {
   for (auto& process : processes_) {
     if (!process || process->site_.client_.open_.empty() ||
@@ -148,28 +148,28 @@
 }
 
 void
-JobPlay::LapseLeases()
+JobSimulation::ExpireLeases()
 {
-  std::vector<StoreLeaseId> over;
+  std::vector<StoreLeaseId> expired;
   for (const auto& [lease, end] : leases_) {
     if (end <= Now()) {
-      over.push_back(lease);
+      expired.push_back(lease);
     }
   }
-  for (const StoreLeaseId lease : over) {
+  for (const StoreLeaseId lease : expired) {
     leases_.erase(lease);
     fakes_.store_.Lapse(lease);
   }
 }
 
 void
-JobPlay::Submit()
+JobSimulation::Submit()
 {
   const std::size_t at = random_.Below(kProcesses);
   if (!processes_[at]) {
     return;
   }
-  PlayedJob job;
+  SimulatedJob job;
   job.id_ = JobId{ "j" + std::to_string(jobs_.size()) };
   job.items_ = 2 + static_cast<int>(random_.Below(10));
   job.accepted_ = kNever;
@@ -193,9 +193,9 @@
 }
 
 void
-JobPlay::NoteAccepted()
+JobSimulation::RecordAccepted()
 {
-  for (PlayedJob& job : jobs_) {
+  for (SimulatedJob& job : jobs_) {
     if (job.accepted_ == kNever && job.reply_->status_ == 202) {
       job.accepted_ = Now();
     }
@@ -203,7 +203,9 @@
 }
 
 void
-JobPlay::Read(std::size_t aJob, std::size_t aProcess, std::uint64_t aAfter)
+JobSimulation::Read(std::size_t aJob,
+                    std::size_t aProcess,
+                    std::uint64_t aAfter)
 {
   if (!processes_[aProcess]) {
     return;
@@ -212,33 +214,34 @@
   query.job_ = jobs_[aJob].id_;
   query.verb_ = JobQuery::Verb::Read;
   query.after_ = aAfter;
-  const bool touched = !InTouch(aProcess);
+  const bool disturbed = !IsSettled(aProcess);
   const std::string incarnation = processes_[aProcess]->incarnation_;
   const auto reply = std::make_shared<FakeReply>();
   const TimePoint asked = Now();
   processes_[aProcess]->site_.jobs_.Query(query, HttpRequest{}, reply);
   fakes_.timers_.After(
-    1500ms, [this, aJob, aProcess, aAfter, asked, reply, touched, incarnation] {
-      if (!touched && InTouch(aProcess) &&
+    1500ms,
+    [this, aJob, aProcess, aAfter, asked, reply, disturbed, incarnation] {
+      if (!disturbed && IsSettled(aProcess) &&
           processes_[aProcess]->incarnation_ == incarnation) {
-        TakeRead(aJob, aProcess, aAfter, asked, *reply);
+        CheckRead(aJob, aProcess, aAfter, asked, *reply);
       }
     });
 }
 
 void
-JobPlay::TakeRead(std::size_t aJob,
-                  std::size_t aProcess,
-                  std::uint64_t aAfter,
-                  TimePoint aAsked,
-                  const FakeReply& aReply)
+JobSimulation::CheckRead(std::size_t aJob,
+                         std::size_t aProcess,
+                         std::uint64_t aAfter,
+                         TimePoint aAsked,
+                         const FakeReply& aReply)
 {
-  PlayedJob& job = jobs_[aJob];
+  SimulatedJob& job = jobs_[aJob];
   const std::string where = job.id_.Get() + " at " +
                             processes_[aProcess]->incarnation_ + " after " +
                             std::to_string(aAfter);
-  if (aReply.status_ == 404 && aAsked - kSettle > job.accepted_) {
-    Broken(where + ": denied");
+  if (aReply.status_ == 404 && aAsked - kVisibleWithin > job.accepted_) {
+    AddViolation(where + ": denied");
   }
   if (aReply.status_ != 200) {
     return;
@@ -249,7 +252,7 @@
     const std::string what = result.dump();
     if (position < job.results_.size()) {
       if (job.results_[position].first != what) {
-        Broken(where + ": another result at " + std::to_string(position));
+        AddViolation(where + ": another result at " + std::to_string(position));
       }
     } else if (position == job.results_.size()) {
       job.results_.emplace_back(what, Now());
@@ -258,19 +261,20 @@
     ++position;
   }
   for (std::size_t i = position; i < job.results_.size(); ++i) {
-    if (job.results_[i].second + kSettle < aAsked) {
-      Broken(where + ": nothing at " + std::to_string(i) + ", read " +
-             std::to_string(WholeMillis(aAsked - job.results_[i].second)) +
-             " ms before" + (job.endAsked_ ? ", ended" : ""));
+    if (job.results_[i].second + kVisibleWithin < aAsked) {
+      AddViolation(
+        where + ": nothing at " + std::to_string(i) + ", read " +
+        std::to_string(WholeMillis(aAsked - job.results_[i].second)) +
+        " ms before" + (job.endAsked_ ? ", ended" : ""));
       break;
     }
   }
 }
 
 void
-JobPlay::CountTakeovers()
+JobSimulation::CountTakeovers()
 {
-  for (PlayedJob& job : jobs_) {
+  for (SimulatedJob& job : jobs_) {
     const auto it = fakes_.store_.records_.find(job_keys::Owner(job.id_));
     if (it == fakes_.store_.records_.end()) {
       continue;
@@ -282,7 +286,7 @@
 }
 
 void
-JobPlay::ReadSome()
+JobSimulation::ReadRandomJob()
 {
   if (jobs_.empty()) {
     return;
@@ -293,11 +297,11 @@
 }
 
 void
-JobPlay::EndSome()
+JobSimulation::EndRandomJob()
 {
   const std::size_t index = random_.Below(jobs_.size());
   const std::size_t process = random_.Below(kProcesses);
-  PlayedJob& job = jobs_[index];
+  SimulatedJob& job = jobs_[index];
   if (job.endAsked_ || job.results_.empty() || !processes_[process]) {
     return;
   }
@@ -310,12 +314,12 @@
 }
 
 /// Faults of one process, of all, and of the store, one after the other and
-/// over each other.
+/// expired each other.
 void
-JobPlay::Fault()
+JobSimulation::InjectFault()
 {
   const std::size_t index = random_.Below(kProcesses);
-  PlayedProcess* process = processes_[index].get();
+  SimulatedProcess* process = processes_[index].get();
   const auto lasts = std::chrono::milliseconds(500 + random_.Below(5000));
   nextFault_ = Now() + std::chrono::milliseconds(300 + random_.Below(2500));
   if (process == nullptr) {
@@ -329,14 +333,14 @@
     case 8: {
       // A long cut may outlast the history that the store keeps.
       const bool loses = random_.Below(2) == 0;
-      process->touched_ = kNever;
+      process->lastFaultAt_ = kNever;
       process->store_.SetCut(true);
       after(lasts, [this, process, loses] {
         if (loses) {
           process->store_.LoseHistory();
         }
         process->store_.SetCut(false);
-        process->touched_ = Now();
+        process->lastFaultAt_ = Now();
       });
       return;
     }
@@ -345,7 +349,7 @@
       return;
     case 2:
       process->store_.SetLag(
-        std::chrono::milliseconds(random_.Below(kLongestLagMillis)));
+        std::chrono::milliseconds(random_.Below(kMaxLagMillis)));
       after(lasts, [process] { process->store_.SetLag(Duration{ 0 }); });
       return;
     case 3:
@@ -360,10 +364,10 @@
       return;
     case 5:
       process->site_.peers_.cut_ = true;
-      process->touched_ = kNever;
+      process->lastFaultAt_ = kNever;
       after(lasts, [this, process] {
         process->site_.peers_.cut_ = false;
-        process->touched_ = Now();
+        process->lastFaultAt_ = Now();
       });
       return;
     case 6:
@@ -378,29 +382,29 @@
 }
 
 void
-JobPlay::Step()
+JobSimulation::Step()
 {
   AnswerCalls();
-  LapseLeases();
-  NoteAccepted();
+  ExpireLeases();
+  RecordAccepted();
   if (faults_ && random_.Below(70) == 0) {
     Submit();
   }
   if (random_.Below(3) == 0) {
-    ReadSome();
+    ReadRandomJob();
   }
   if (!jobs_.empty() && random_.Below(60) == 0) {
-    EndSome();
+    EndRandomJob();
   }
   if (faults_ && Now() >= nextFault_) {
-    Fault();
+    InjectFault();
   }
   CountTakeovers();
   fakes_.timers_.Advance(kStep);
 }
 
 void
-JobPlay::ReadAllEverywhere()
+JobSimulation::ReadAllEverywhere()
 {
   for (std::size_t job = 0; job < jobs_.size(); ++job) {
     for (std::size_t process = 0; process < kProcesses; ++process) {
@@ -411,18 +415,18 @@
 }
 
 void
-JobPlay::Run()
+JobSimulation::Run()
 {
   for (std::size_t i = 0; i < kProcesses; ++i) {
     StartProcess(i);
   }
   fakes_.timers_.Advance(100ms);
   nextFault_ = Now() + 2s;
-  const TimePoint end = Now() + kPlayed;
+  const TimePoint end = Now() + kDuration;
   while (Now() < end) {
     Step();
   }
-  // All faults are over and processes in touch: nothing read may be missing.
+  // All faults are expired and processes in touch: nothing read may be missing.
   faults_ = false;
   const TimePoint calm = Now() + 12s;
   while (Now() < calm) {
--- a/tests/job_play.hpp
+++ b/tests/job_simulation.hpp
@@ -10,26 +10,26 @@
 namespace marjoramtally::test {
 
 /// One run of a gateway's process.
-struct PlayedProcess
+struct SimulatedProcess
 {
-  PlayedProcess(GatewayFakes& aFakes,
-                const std::string& aInstance,
-                const std::string& aAddress,
-                int aRun);
+  SimulatedProcess(GatewayFakes& aFakes,
+                   const std::string& aInstance,
+                   const std::string& aAddress,
+                   int aRun);
 
   std::string incarnation_;
   ReachedStore store_;
   Site site_;
-  LeasedKey life_;
-  /// When a fault last touched it.
-  TimePoint touched_;
+  LeasedKey liveness_;
+  /// When a fault last disturbed it.
+  TimePoint lastFaultAt_;
 };
 
 /// The play. It collects what broke a promise.
-class JobPlay
+class JobSimulation
 {
 public:
-  explicit JobPlay(std::uint64_t aSeed);
+  explicit JobSimulation(std::uint64_t aSeed);
 
   void Run();
   [[nodiscard]] const std::vector<std::string>& Violations() const
@@ -43,7 +43,7 @@
 
 private:
   /// What the reader knows of a job.
-  struct PlayedJob
+  struct SimulatedJob
   {
     JobId id_;
     int items_ = 0;
@@ -60,33 +60,33 @@
   void Link();
   void Step();
   void AnswerCalls();
-  void LapseLeases();
+  void ExpireLeases();
   void Submit();
-  void NoteAccepted();
+  void RecordAccepted();
   void CountTakeovers();
-  void ReadSome();
+  void ReadRandomJob();
   void Read(std::size_t aJob, std::size_t aProcess, std::uint64_t aAfter);
-  void TakeRead(std::size_t aJob,
-                std::size_t aProcess,
-                std::uint64_t aAfter,
-                TimePoint aAsked,
-                const FakeReply& aReply);
-  void EndSome();
-  void Fault();
+  void CheckRead(std::size_t aJob,
+                 std::size_t aProcess,
+                 std::uint64_t aAfter,
+                 TimePoint aAsked,
+                 const FakeReply& aReply);
+  void EndRandomJob();
+  void InjectFault();
   void ReadAllEverywhere();
-  [[nodiscard]] bool InTouch(std::size_t aProcess) const;
-  void Broken(const std::string& aWhat);
+  [[nodiscard]] bool IsSettled(std::size_t aProcess) const;
+  void AddViolation(const std::string& aWhat);
   [[nodiscard]] TimePoint Now() const { return fakes_.clock_.Now(); }
 
   std::uint64_t seed_;
   Random random_;
   GatewayFakes fakes_;
-  std::vector<std::unique_ptr<PlayedProcess>> processes_;
+  std::vector<std::unique_ptr<SimulatedProcess>> processes_;
   /// Killed runs; they reach nobody, but their timers still refer to them.
-  std::vector<std::unique_ptr<PlayedProcess>> dead_;
+  std::vector<std::unique_ptr<SimulatedProcess>> killed_;
   std::vector<int> runs_;
   std::map<StoreLeaseId, TimePoint> leases_;
-  std::vector<PlayedJob> jobs_;
+  std::vector<SimulatedJob> jobs_;
   TimePoint nextFault_;
   std::size_t read_ = 0;
   std::size_t takeovers_ = 0;
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -26,7 +26,7 @@
   {
     routes_.Apply(ItemRoutes());
     AddUpstream("e0", "lm", 5);
-    GatewayFakes::store_.Put(job_keys::Life("self~1"),
+    GatewayFakes::store_.Put(job_keys::Liveness("self~1"),
                              WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
     directory_.Start();
     timers_.Advance(10ms);
@@ -142,7 +142,7 @@
 {
   ForeignFixture()
   {
-    Put(job_keys::Life("other~1"),
+    Put(job_keys::Liveness("other~1"),
         WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     Put(job_keys::Owner(kForeign), WriteOwnerRecord({ "other~1", 2, 0 }));
     PutPart(0, kHead + R"({"model":"m","items":[)" + Items({ "a1", "a2" }));
@@ -167,8 +167,8 @@
                                 std::to_string(aNumber));
   }
 
-  std::shared_ptr<FakeReply> Ask(JobQuery::Verb aVerb,
-                                 const std::string& aItem = "")
+  std::shared_ptr<FakeReply> Query(JobQuery::Verb aVerb,
+                                   const std::string& aItem = "")
   {
     JobQuery query;
     query.job_ = kForeign;
@@ -191,8 +191,8 @@
 TEST_CASE("an item of a submission that cannot be read is not denied")
 {
   ForeignFixture fix;
-  REQUIRE(fix.Ask(JobQuery::Verb::Body, "a2")->body_ == "hi");
-  REQUIRE(fix.Ask(JobQuery::Verb::Body, "a3")->status_ == 404);
+  REQUIRE(fix.Query(JobQuery::Verb::Body, "a2")->body_ == "hi");
+  REQUIRE(fix.Query(JobQuery::Verb::Body, "a3")->status_ == 404);
   SECTION("its last part is missing")
   {
     fix.RemovePart(1);
@@ -214,7 +214,7 @@
   {
     fix.PutPart(0, "none at all");
   }
-  const auto reply = fix.Ask(JobQuery::Verb::Body, "a2");
+  const auto reply = fix.Query(JobQuery::Verb::Body, "a2");
   REQUIRE(reply->status_ == 503);
   REQUIRE(FindHeader(reply->headers_, "Retry-After").has_value());
 }
@@ -227,17 +227,17 @@
 TEST_CASE("a job whose owner record cannot be read has no total")
 {
   ForeignFixture fix;
-  REQUIRE(fix.Ask(JobQuery::Verb::Read)->status_ == 200);
+  REQUIRE(fix.Query(JobQuery::Verb::Read)->status_ == 200);
   const bool watched = GENERATE(false, true);
   fix.GatewayFakes::store_.Remove(job_keys::Owner(kForeign));
   fix.timers_.Advance(10ms);
   fix.GatewayFakes::store_.deaf_ = !watched;
   fix.Put(job_keys::Owner(kForeign), "no record");
-  const auto reply = fix.Ask(JobQuery::Verb::Read);
+  const auto reply = fix.Query(JobQuery::Verb::Read);
   REQUIRE(reply->status_ == 503);
   REQUIRE(FindHeader(reply->headers_, "Retry-After").has_value());
   // It exists, so it can be ended.
-  REQUIRE(fix.Ask(JobQuery::Verb::End)->status_ == 200);
+  REQUIRE(fix.Query(JobQuery::Verb::End)->status_ == 200);
   REQUIRE(fix.GatewayFakes::store_.records_.contains(job_keys::End(kForeign)));
 }
 
@@ -261,9 +261,9 @@
   {
     fix.Put(job_keys::ResultsAt(kForeign, 1), record);
   }
-  REQUIRE(fix.Ask(JobQuery::Verb::Read)->status_ == 503);
+  REQUIRE(fix.Query(JobQuery::Verb::Read)->status_ == 503);
   fix.Put(job_keys::ResultsAt(kForeign, 0), record);
-  const auto reply = fix.Ask(JobQuery::Verb::Read);
+  const auto reply = fix.Query(JobQuery::Verb::Read);
   REQUIRE(reply->status_ == 200);
   REQUIRE(reply->body_.find("a1") != std::string::npos);
 }
@@ -411,7 +411,7 @@
   REQUIRE(fix.Owner(kJob) == "self~1");
   SECTION("another process has taken the job over")
   {
-    store.Put(job_keys::Life("other~1"),
+    store.Put(job_keys::Liveness("other~1"),
               WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     store.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "other~1", 1, 0 }));
   }
--- a/tests/test_job_directory.cpp
+++ b/tests/test_job_directory.cpp
@@ -34,8 +34,8 @@
     };
     directory_.onEnd_ = [&](const JobId& aJob) { ends_.push_back(aJob.Get()); };
     const std::string life = WriteLivenessRecord({ ZoneId{ "z" }, "a:1" });
-    store_.Put(job_keys::Life("self~1"), life);
-    store_.Put(job_keys::Life("other~1"), life);
+    store_.Put(job_keys::Liveness("self~1"), life);
+    store_.Put(job_keys::Liveness("other~1"), life);
     store_.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "other~1", 3, 0 }));
     directory_.Start();
     timers_.Advance(10ms);
@@ -57,14 +57,14 @@
   fix.timers_.Advance(50ms);
   // The read that settles it met the fault too: not known, and not refused.
   REQUIRE(first.has_value());
-  REQUIRE(first->end_ != AcceptEnd::Refused);
+  REQUIRE(first->outcome_ != AcceptOutcome::Refused);
   std::optional<AcceptResult> second;
   fix.jobs_.Accept(kJob, { "h", "/i/job", "b" }, 1, [&](AcceptResult aResult) {
     second = aResult;
   });
   fix.timers_.Advance(50ms);
-  REQUIRE(second->end_ != AcceptEnd::Refused);
-  REQUIRE(second->end_ != AcceptEnd::Unknown);
+  REQUIRE(second->outcome_ != AcceptOutcome::Refused);
+  REQUIRE(second->outcome_ != AcceptOutcome::Unknown);
 }
 
 TEST_CASE("a submission of several parts comes back whole")
@@ -87,7 +87,7 @@
   DirectoryFixture fix;
   REQUIRE(fix.owners_ == std::vector<std::string>{ "other~1" });
   REQUIRE(fix.directory_.AddressOf("other~1") == "a:1");
-  fix.store_.Remove(job_keys::Life("other~1"));
+  fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.timers_.Advance(1s);
   REQUIRE(fix.owners_.size() == 1);
   fix.timers_.Advance(2s);
@@ -99,7 +99,7 @@
 TEST_CASE("a claim takes effect with its answer, before a watch tells of it")
 {
   DirectoryFixture fix;
-  fix.store_.Remove(job_keys::Life("other~1"));
+  fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.store_.deaf_ = true;
   fix.timers_.Advance(3s);
   REQUIRE(fix.owners_.size() == 2);
@@ -109,7 +109,7 @@
 TEST_CASE("a claim is not repeated while its answer is awaited")
 {
   DirectoryFixture fix;
-  fix.store_.Remove(job_keys::Life("other~1"));
+  fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.store_.fault_ = StoreFault::Silent;
   fix.store_.delay_ = 2s;
   fix.timers_.Advance(3s);
@@ -128,7 +128,7 @@
   const JobId fresh{ "fresh" };
   const JobId open{ "open" };
   const std::int64_t now = fakes.context_.WallMillis();
-  fakes.store_.Put(job_keys::Life("self~1"),
+  fakes.store_.Put(job_keys::Liveness("self~1"),
                    WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
   for (const auto& [job, accepted] : { std::pair{ kJob, std::int64_t{ 0 } },
                                        std::pair{ fresh, now },
@@ -163,7 +163,7 @@
   fix.store_.Put(job_keys::Owner(job), R"({"owner":"other~1"})");
   fix.store_.Put(job_keys::Submission(job) + "0000", "x");
   fix.store_.Put(job_keys::End(job), "");
-  fix.store_.Remove(job_keys::Life("other~1"));
+  fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.timers_.Advance(31s);
   REQUIRE(fix.store_.records_.contains(job_keys::Owner(job)));
   REQUIRE(fix.store_.records_.contains(job_keys::Submission(job) + "0000"));
@@ -211,9 +211,9 @@
           std::string::npos);
   fix.store_.Put(job_keys::ResultsAt(kJob, 2),
                  WriteResultsRecord({ ResultOf("c") }));
-  const auto whole = load();
-  REQUIRE(whole);
-  REQUIRE(whole.value().results_.size() == 4);
+  const auto complete = load();
+  REQUIRE(complete);
+  REQUIRE(complete.value().results_.size() == 4);
 }
 
 // The next owner of a job made texts anew that the store held. The order: a job
@@ -253,7 +253,7 @@
       store_.Put(job_keys::ResultsAt(job_, i), "[]");
     }
     store_.Put(job_keys::End(job_), "");
-    store_.Remove(job_keys::Life("other~1"));
+    store_.Remove(job_keys::Liveness("other~1"));
   }
 
   std::size_t CountRecords()
@@ -267,7 +267,7 @@
 
 } // namespace
 
-// Results of jobs that nobody knows filled the store, and no log line told of
+// Results of jobs that nobody knows filled the store, and no log line before of
 // them. The order: the first transaction of a job's removal was refused, the
 // one that removes its owner record was not. Cause: all were sent at once, and
 // nobody looked at their ends.
@@ -303,7 +303,7 @@
 // A trainer read a page for a job that had been removed, where 404 is right,
 // and the removal was repeated every half minute. The order: a gateway lost its
 // place in the watch, and the job was removed before it read all again. Cause:
-// a whole reading told only of what is there.
+// a whole reading before only of what is there.
 TEST_CASE("a job that a whole reading lacks is not listed any more")
 {
   DirectoryFixture fix;
@@ -314,7 +314,7 @@
   REQUIRE(fix.directory_.Find(kJob) == nullptr);
   // Nobody claims it either.
   fix.store_.deaf_ = false;
-  fix.store_.Remove(job_keys::Life("other~1"));
+  fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.timers_.Advance(5s);
   REQUIRE(fix.store_.commits_ == 0);
 }
@@ -338,7 +338,7 @@
 // another process took it over and finished it, the trainer ended it, and the
 // first owner came back after the store had forgotten its history, so that it
 // read all records at once. Cause: in a whole reading a job's end comes before
-// its owner, and of a job that had ended no owner was told any more; so the
+// its owner, and of a job that had ended no owner was before any more; so the
 // first one went on to answer from the part that it had listed, for a minute.
 TEST_CASE("the former owner of an ended job is told of the later one")
 {
@@ -357,8 +357,8 @@
 TEST_CASE("an ended job is not loaded by the owner that its record names")
 {
   DirectoryFixture fix;
-  const auto told = fix.owners_;
+  const auto before = fix.owners_;
   fix.store_.Put(job_keys::End(kJob), "");
   fix.store_.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "self~1", 3, 0 }));
-  REQUIRE(fix.owners_ == told);
+  REQUIRE(fix.owners_ == before);
 }
--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -27,9 +27,9 @@
     first_.directory_.Start();
     second_.directory_.Start();
     timers_.Advance(20ms);
-    store_.Put(job_keys::Life("one~1"),
+    store_.Put(job_keys::Liveness("one~1"),
                WriteLivenessRecord({ ZoneId{ "z" }, "a:1" }));
-    store_.Put(job_keys::Life("two~1"),
+    store_.Put(job_keys::Liveness("two~1"),
                WriteLivenessRecord({ ZoneId{ "z" }, "a:2" }));
     timers_.Advance(20ms);
     constexpr int kEnough = 100;
@@ -100,9 +100,9 @@
     return reply;
   }
 
-  std::shared_ptr<FakeReply> AskFirst(const std::string& aJob,
-                                      JobQuery::Verb aVerb,
-                                      const std::string& aItem = "")
+  std::shared_ptr<FakeReply> QueryFirst(const std::string& aJob,
+                                        JobQuery::Verb aVerb,
+                                        const std::string& aItem = "")
   {
     JobQuery query;
     query.job_ = JobId{ aJob };
@@ -248,13 +248,13 @@
   REQUIRE(pair.Submit("j1")->status_ == 202);
   pair.timers_.Advance(1s);
   const std::size_t reads = pair.store_.reads_;
-  auto reply = pair.AskFirst("j1", JobQuery::Verb::Body, "a1");
+  auto reply = pair.QueryFirst("j1", JobQuery::Verb::Body, "a1");
   REQUIRE(reply->status_ == 200);
   REQUIRE(reply->body_ == "hi");
-  REQUIRE(pair.AskFirst("j1", JobQuery::Verb::Body, "a9")->status_ == 404);
+  REQUIRE(pair.QueryFirst("j1", JobQuery::Verb::Body, "a9")->status_ == 404);
   REQUIRE(pair.store_.reads_ == reads);
   pair.first_.peers_.cut_ = true;
-  reply = pair.AskFirst("j1", JobQuery::Verb::Body, "a1");
+  reply = pair.QueryFirst("j1", JobQuery::Verb::Body, "a1");
   REQUIRE(reply->body_ == "hi");
   REQUIRE(pair.store_.reads_ == reads + 1);
 }
@@ -300,17 +300,18 @@
 TEST_CASE("a submission that is handed on and cannot be read is not taken")
 {
   Pair pair;
-  std::optional<AcceptEnd> end;
+  std::optional<AcceptOutcome> end;
   const std::string text = GENERATE("", "no submission");
   RpcCall call;
   call.topic_ = RpcTopic::JobHandOn;
   call.body_ = EncodeJobHandOn({ "j1", text });
   pair.second_.peers_.handlers_.at(
     RpcTopic::JobHandOn)(call, [&end](const RpcReply& aReply) {
-    end = static_cast<AcceptEnd>(DecodeJobHandOnAnswer(aReply.value()).value());
+    end =
+      static_cast<AcceptOutcome>(DecodeJobHandOnAnswer(aReply.value()).value());
   });
   pair.timers_.Advance(50ms);
-  REQUIRE(end == AcceptEnd::Refused);
+  REQUIRE(end == AcceptOutcome::Refused);
   REQUIRE_FALSE(pair.store_.records_.contains(job_keys::Owner(JobId{ "j1" })));
 }
 
--- a/tests/test_job_routes.cpp
+++ b/tests/test_job_routes.cpp
@@ -261,11 +261,11 @@
 TEST_CASE("a whole text of an earlier owner is scored once limits are known")
 {
   JobFixture fix(2, false);
-  PartialText whole;
-  whole.text_ = "a";
-  whole.lastEvent_ = 1;
-  whole.versions_ = { WeightVersion{ 5 } };
-  whole.complete_ = true;
+  PartialText complete;
+  complete.text_ = "a";
+  complete.lastEvent_ = 1;
+  complete.versions_ = { WeightVersion{ 5 } };
+  complete.complete_ = true;
   fix.jobs_.Accept(kJob, fix.submission_, 1, [&](AcceptResult aResult) {
     fix.fence_ = aResult.fence_;
   });
@@ -275,7 +275,7 @@
                   fix.submission_,
                   JobFixture::MakeSpec(1),
                   {},
-                  { { ItemId{ "item0" }, whole } },
+                  { { ItemId{ "item0" }, complete } },
                   {});
   REQUIRE(fix.client_.sent_ == 0);
   fix.routes_.Apply(JobFixture::Config(1));
--- a/tests/test_job_runner.cpp
+++ b/tests/test_job_runner.cpp
@@ -267,7 +267,7 @@
     events += Event(i, "x");
   }
   fix.Begin(fix.Call(), events);
-  fix.runner_.GiveBack();
+  fix.runner_.ReleaseAll();
   fix.timers_.Advance(50ms);
   REQUIRE(fix.runner_.Idle());
   REQUIRE(fix.client_.open_.empty());
@@ -414,15 +414,17 @@
   // A short lease is three renewals in 1.5 s, and what is done needs no next
   // owner.
   JobFixture fix;
-  std::vector<bool> told;
-  fix.runner_.onOwning_ = [&told](bool aOwning) { told.push_back(aOwning); };
+  std::vector<bool> notified;
+  fix.runner_.onUnfinishedChanged_ = [&notified](bool aOwning) {
+    notified.push_back(aOwning);
+  };
   fix.Accept(1);
-  REQUIRE(told == std::vector<bool>{ true });
+  REQUIRE(notified == std::vector<bool>{ true });
   SECTION("it is done")
   {
     fix.CompleteItem();
     fix.CompleteScore();
-    REQUIRE(told == std::vector<bool>{ true });
+    REQUIRE(notified == std::vector<bool>{ true });
     fix.timers_.Advance(300ms);
   }
   SECTION("it is ended")
@@ -433,9 +435,9 @@
   {
     fix.runner_.Drop(kJob);
   }
-  REQUIRE(told == std::vector<bool>{ true, false });
+  REQUIRE(notified == std::vector<bool>{ true, false });
   fix.timers_.Advance(100s);
-  REQUIRE(told.size() == 2);
+  REQUIRE(notified.size() == 2);
 }
 
 TEST_CASE("results of a job that ended are told from memory for a minute")
--- a/tests/test_job_play.cpp
+++ b/tests/test_job_simulation.cpp
@@ -1,6 +1,6 @@
 /// Plays of jobs on several gateways: what was read of a job is told by all.
 
-#include "job_play.hpp"
+#include "job_simulation.hpp"
 
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -32,14 +32,14 @@
   std::size_t read = 0;
   std::size_t takeovers = 0;
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
-    JobPlay play(seed);
-    play.Run();
-    read += play.ResultsRead();
-    takeovers += play.Takeovers();
-    for (const std::string& violation : play.Violations()) {
+    JobSimulation simulation(seed);
+    simulation.Run();
+    read += simulation.ResultsRead();
+    takeovers += simulation.Takeovers();
+    for (const std::string& violation : simulation.Violations()) {
       UNSCOPED_INFO(violation);
     }
-    CHECK(play.Violations().empty());
+    CHECK(simulation.Violations().empty());
   }
   CAPTURE(read, takeovers);
   // The play is of use only while results come and jobs change owners.
