--- a/src/programs/gatewayd/job_api.cpp
+++ b/src/programs/gatewayd/job_api.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-/// Jobs are given back this long before the forced end: the process ends by
-/// itself 0.7 s before it, and the store may answer only at a second attempt,
-/// of 1.2 s each.
+/// Jobs are released this long before the forced end: the process ends by
+/// itself 0.7 s before it, and a call to the store may need two attempts of
+/// 1.2 s each.
 constexpr auto kHandoverMargin = std::chrono::milliseconds(3200);
-/// A job's owner record that could not be loaded is tried again.
+/// Delay before a job that could not be loaded from the store is loaded again.
 constexpr auto kLoadRetryDelay = std::chrono::milliseconds(300);
-/// So is a job of which what was read makes no sense, a tenth as often: what is
-/// stored seldom changes, and each look is some priced calls.
+/// Delay before a job whose stored records are unreadable is loaded again.
+/// Stored records seldom change, and each attempt makes several billed store
+/// calls.
 constexpr auto kUnreadableRetryDelay = std::chrono::seconds(3);
 
-/// @returns whether a customer may ask about a job; one that was accepted while
-/// requests needed no keys is anybody's
+/// @returns whether a customer may access a job; a job that was accepted while
+/// requests needed no keys is accessible to all customers
 bool
 MayAccess(const CustomerId& aCustomer, const CustomerId& aOwner)
 {
   return aCustomer.Get().empty() || aOwner.Get().empty() || aCustomer == aOwner;
 }
 
-/// @returns whose job an owner record is of; nobody's if it cannot be read,
-/// which is told where its total is wanted
+/// @returns the customer in an owner record; empty if the record cannot be
+/// read, which is logged where its total is needed
 CustomerId
 CustomerIn(const StoreRecord& aOwner)
 {
@@ -118,8 +119,9 @@
   }
 }
 
-/// A job that became ours after the stop began is started by nobody while we
-/// live: its next owner would wait for our end, 7 s at most.
+/// A job that this process comes to own after it began to stop is not started
+/// here. Unless it is released, its next owner waits until this process has
+/// ended, up to 7 s.
 void
 JobApi::ReleaseOwnership(const JobId& aJob, const KnownJob& aKnown)
 {
@@ -135,7 +137,7 @@
     aKnown.fence_,
     [aJob](const Result<std::optional<FencingNumber>>& aFence) {
       if (!aFence) {
-        // Whoever follows the signs of life takes it over at our end.
+        // Another process takes the job over when this one has ended.
         LogEvent(
           LogLevel::Warn,
           "job_not_handed_back",
@@ -162,7 +164,8 @@
       return;
     }
     if (known->fence_ != aFence) {
-      // Lost and claimed again meanwhile: what was read may be old.
+      // The job was lost and claimed again in the meantime, so the loaded
+      // state may be outdated.
       LoadOwned(aJob, known->fence_);
       return;
     }
@@ -175,7 +178,7 @@
     auto spec = aStored ? ReadSpec(aJob, aStored.value().submission_)
                         : Result<JobSpec>(aStored.error());
     if (!spec) {
-      // We are its owner, so that nobody else would look at it.
+      // This process is the owner, so no other process would load the job.
       const bool read = spec.error().kind_ == ErrorKind::BadInput;
       host_.Timers().After(read ? Duration{ kUnreadableRetryDelay }
                                 : kLoadRetryDelay,
@@ -258,8 +261,8 @@
     });
 }
 
-/// A record that cannot be read still says that the job exists; its total is
-/// unknown then, which is not a total of 0.
+/// An unreadable record still proves that the job exists, but its total is
+/// then unknown rather than 0.
 void
 JobApi::RecordTotal(const JobId& aJob, const StoreRecord& aOwner)
 {
@@ -274,17 +277,18 @@
            { { "key", aOwner.key_ }, { "error", record.error().message_ } });
 }
 
-/// The items are counted against the job's record: parts that are missing may
-/// leave text that can be read.
+/// The number of items is compared with the job's record, because a submission
+/// with missing parts may still be valid text.
 Result<JobSpec>
 JobApi::ReadSpec(const JobId& aJob, const JobSubmissionRecord& aStored) const
 {
   auto spec = host_.Formats().ReadSubmission(aStored.body_);
   if (spec && spec.value().items_.size() != TotalOf(aJob)) {
-    spec = Error{ ErrorKind::BadInput,
-                  "the submission holds " +
-                    std::to_string(spec.value().items_.size()) +
-                    " items, which is not the number in the job's record" };
+    spec = Error{
+      ErrorKind::BadInput,
+      "the submission contains " + std::to_string(spec.value().items_.size()) +
+        " items, which differs from the total in the job's owner record"
+    };
   }
   if (!spec) {
     LogEvent(LogLevel::Error,
--- a/src/programs/gatewayd/job_api.hpp
+++ b/src/programs/gatewayd/job_api.hpp
@@ -1,4 +1,5 @@
-/// Jobs over HTTP: submission, reading, bodies, end.
+/// HTTP interface for jobs: submission, reading of results and item bodies,
+/// and ending.
 #pragma once
 
 #include "programs/gatewayd/job_intake.hpp"
@@ -6,7 +7,8 @@
 
 namespace marjoramtally {
 
-/// Answers calls about jobs. Used on one loop.
+/// Answers HTTP requests about jobs and the requests of other gateways about
+/// jobs owned here. Used on one loop.
 class JobApi
 {
 public:
@@ -16,8 +18,9 @@
          JobDirectory& aDirectory,
          JobRunner& aRunner);
 
-  /// @param aRevision the configuration whose routes took the request
-  /// @param aCustomer whose job it is; empty: requests need no keys
+  /// @param aRevision the configuration whose routes matched the request
+  /// @param aCustomer the customer that submits the job; empty if requests
+  /// need no keys
   void Submit(HttpRequest aRequest,
               ConfigRevision aRevision,
               HttpReplyPtr aReply,
@@ -26,20 +29,20 @@
     intake_.Submit(
       std::move(aRequest), aRevision, std::move(aReply), aCustomer);
   }
-  /// To a customer, a job of another is none that there is.
+  /// Answers 404 to a customer for a job that belongs to another customer.
   void Query(const JobQuery& aQuery,
              const HttpRequest& aRequest,
              HttpReplyPtr aReply);
-  /// No more jobs are taken in; those in progress go on, as most end in time,
-  /// and the rest is given back before the forced end.
+  /// Stops accepting jobs. Jobs in progress continue, because most complete in
+  /// time; the remaining ones are released before the forced end.
   /// @param aGrace from now to the forced end
   void Stop(Duration aGrace);
-  /// To be asked after `Stop`.
-  /// @returns whether no job is left here
+  /// Called after `Stop`; releases all jobs once none of them has work left.
+  /// @returns whether this process owns no job
   [[nodiscard]] bool Idle();
 
 private:
-  /// A read of a job of ours that waits for a result.
+  /// A read request that waits for a result of a job owned by this process.
   struct Waiter
   {
     std::uint64_t id_ = 0;
@@ -49,20 +52,21 @@
   };
 
   void OnOwnerChanged(const JobId& aJob, const KnownJob& aKnown);
-  /// Makes nobody the owner of a job that this process does not start.
+  /// Clears the owner of a job that this process does not start.
   void ReleaseOwnership(const JobId& aJob, const KnownJob& aKnown);
   void LoadOwned(const JobId& aJob, FencingNumber aFence);
-  /// @returns where a job's owner is called; empty if that is not known
+  /// @returns the address of a job's owner; empty if unknown
   [[nodiscard]] std::string OwnerAddress(const JobId& aJob) const;
-  /// Answers another process about a job of ours.
+  /// Answers another process's request for results of a job owned here.
   void ServeResults(const RpcCall& aCall, const RpcDone& aDone);
   void Read(const JobQuery& aQuery, Duration aWait, HttpReplyPtr aReply);
-  /// Reads from the ledger of a job of ours.
+  /// Answers from the ledger of a job owned here.
   void ReadOwned(const JobId& aJob,
                  std::uint64_t aAfter,
                  Duration aWait,
                  HttpReplyPtr aReply);
-  /// Reads from the store; if there is nothing, once more after the wait.
+  /// Answers from the job's owner or the store; if there is no new result,
+  /// reads once more after the wait.
   void ReadRemote(const JobId& aJob,
                   std::uint64_t aAfter,
                   Duration aWait,
@@ -70,11 +74,11 @@
   void SendPage(const JobId& aJob,
                 std::uint64_t aAfter,
                 const HttpReplyPtr& aReply);
-  /// @returns the number of a job's items; nothing if that is not known
+  /// @returns the number of a job's items; nothing if it is unknown
   [[nodiscard]] std::optional<std::uint64_t> TotalOf(const JobId& aJob) const;
   void RecordTotal(const JobId& aJob, const StoreRecord& aOwner);
-  /// Answers once the job of ours has a result at the position, or after the
-  /// wait.
+  /// Calls `aAnswer` once the job, which is owned here, has a result beyond
+  /// the position, or after the wait.
   void WaitFor(const JobId& aJob,
                std::uint64_t aAfter,
                Duration aWait,
@@ -85,7 +89,7 @@
                          const RpcDone& aDone) const;
   void NotifyWaiters(const JobId& aJob);
   /// @returns the items of a stored submission; an error, which is logged, if
-  /// it cannot be read or is not whole
+  /// it cannot be read or is incomplete
   [[nodiscard]] Result<JobSpec> ReadSpec(
     const JobId& aJob,
     const JobSubmissionRecord& aStored) const;
@@ -94,11 +98,12 @@
                      const std::string& aOwner,
                      const HttpReplyPtr& aReply);
   void BodyFromStore(const JobQuery& aQuery, const HttpReplyPtr& aReply);
-  /// Tells another process a body of a job of ours.
+  /// Sends another process the body of an item of a job owned here.
   void ServeBody(const RpcCall& aCall, const RpcDone& aDone);
   void End(const JobQuery& aQuery, HttpReplyPtr aReply);
-  /// Looks a job up that the directory does not know; calls `aKnown` if it
-  /// exists and its customer asks, else answers.
+  /// Calls `aKnown` if the job exists and the customer may access it; sends an
+  /// error response otherwise. Reads the store if the directory does not list
+  /// the job.
   void IfExists(const JobQuery& aQuery,
                 HttpReplyPtr aReply,
                 std::function<void()> aKnown);
--- a/src/programs/gatewayd/job_api_reads.cpp
+++ b/src/programs/gatewayd/job_api_reads.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// A page of results holds at most so many bytes of text; the platform's
-/// limit is 1 MB for the whole body.
+/// Maximum size of the texts in one page of results; the platform limits the
+/// complete body to 1 MB.
 constexpr std::size_t kMaxPageBytes = 800'000;
-/// A read of another process's job that finds nothing is answered after one
-/// more reading, which waits so long for a result.
+/// A read of a job owned by another process is answered after at most this
+/// wait for a new result.
 constexpr auto kMaxRemoteWait = std::chrono::milliseconds(800);
-/// An owner that does not tell a body in this time is passed over.
+/// The body is read from the store if the owner does not answer within this
+/// time.
 constexpr auto kBodyTimeout = std::chrono::milliseconds(300);
 
 /// @returns nothing if the job has no such item
@@ -76,7 +77,7 @@
 {
   const auto total = TotalOf(aJob);
   if (!total) {
-    // A caller would take a page with a wrong total for the truth.
+    // A caller would trust a page with a wrong total.
     LogEvent(LogLevel::Warn, "job_total_unknown", { { "job", aJob.Get() } });
     aReply->Send(
       RefusedResponse("the job's record cannot be read", kJobRetryAfter));
@@ -118,9 +119,10 @@
   });
 }
 
-/// The owner holds the second question, so that a result is read when it is
-/// listed: a look each 0.6 s told of a step's last result 0.3 s later in the
-/// mean, and the longest texts leave a step less than a second.
+/// The second request waits at the owner, so that a result is returned as soon
+/// as it is listed. If the store were polled every 0.6 s, a step's last result
+/// would be reported 0.3 s late on average, while the longest texts leave a
+/// step less than a second.
 void
 JobApi::ReadRemote(const JobId& aJob,
                    std::uint64_t aAfter,
@@ -259,7 +261,7 @@
   });
 }
 
-/// Spares the store a reading of the whole submission for each body.
+/// Avoids reading the complete submission from the store for each body.
 void
 JobApi::BodyFromOwner(const JobQuery& aQuery,
                       const std::string& aOwner,
@@ -286,7 +288,7 @@
 {
   const auto take =
     [this, aQuery, aReply](const Result<JobSubmissionRecord>& aStored) {
-      // An item is denied only by a submission that was read whole.
+      // 404 for an item is sent only if the complete submission was read.
       const auto spec = aStored ? ReadSpec(aQuery.job_, aStored.value())
                                 : Result<JobSpec>(aStored.error());
       if (spec) {
--- a/src/programs/gatewayd/job_directory.cpp
+++ b/src/programs/gatewayd/job_directory.cpp
@@ -6,12 +6,11 @@
 
 namespace {
 
-/// A claim that got no answer is tried again after this time.
+/// Interval at which claims without an answer are retried.
 constexpr auto kClaimRetryDelay = std::chrono::milliseconds(500);
-/// How often old jobs are looked for.
 constexpr auto kRemovalInterval = std::chrono::seconds(30);
-/// Beyond the time for which results are to be kept: clocks differ, and jobs
-/// are read a while after they were submitted.
+/// Added to the time for which results are kept: clocks differ, and jobs are
+/// read for a while after they were submitted.
 constexpr auto kRemovalMargin = std::chrono::seconds(60);
 
 } // namespace
@@ -78,8 +77,8 @@
   RemoveMissing(seen, aRange.revision_);
 }
 
-/// Jobs whose record was written after the reading's revision are kept: the
-/// reading cannot know them.
+/// Jobs whose record was written after the revision of the read are kept,
+/// because the read cannot contain them.
 void
 JobDirectory::RemoveMissing(const std::set<std::string>& aSeen,
                             std::uint64_t aRevision)
@@ -173,8 +172,9 @@
   if (present != jobs_.end() && fence <= present->second.fence_) {
     return;
   }
-  // A job enters the list only with what its record says: an empty entry would
-  // count as a job of no items, accepted so long ago that it can be removed.
+  // A job is listed only once its record is readable. An empty entry would
+  // count as a job without items that was accepted in 1970 and could be
+  // removed.
   auto record = ReadOwnerRecord(aRecord.value_);
   if (!record) {
     LogEvent(LogLevel::Error,
@@ -186,8 +186,9 @@
   known.record_ = std::move(record).value();
   known.fence_ = fence;
   known.ended_ = known.ended_ || endedJobs_.contains(aJob);
-  // Nobody runs an ended job, but a former owner may hold an older part of it
-  // and must not answer from that; a whole reading tells of the end first.
+  // An ended job is not run, but a former owner may hold an outdated part of
+  // it and must not answer from that part. In a complete read, the end comes
+  // before the owner record.
   const bool ours = known.record_.owner_ == host_.Incarnation();
   if (known.ended_ && ours) {
     return;
@@ -246,7 +247,7 @@
                      [this, aJob, value = WriteOwnerRecord(record)](
                        const Result<std::optional<FencingNumber>>& aFence) {
                        claims_.erase(aJob);
-                       // If this answer is lost, the watch tells of the new
+                       // If this answer is lost, the watch reports the new
                        // owner later.
                        if (aFence && aFence.value()) {
                          StoreRecord written;
--- a/src/programs/gatewayd/job_directory.hpp
+++ b/src/programs/gatewayd/job_directory.hpp
@@ -1,5 +1,5 @@
-/// All jobs of the fleet, their owners and ends, followed in the store, and
-/// the takeover of jobs whose owner is gone.
+/// Follows all jobs of the fleet, their owners and their ends in the store,
+/// and takes over jobs whose owner has died.
 #pragma once
 
 #include "daemon/prefix_follower.hpp"
@@ -9,7 +9,7 @@
 
 namespace marjoramtally {
 
-/// One job as the directory knows it.
+/// One job as listed in the directory.
 struct KnownJob
 {
   JobOwnerRecord record_;
@@ -17,32 +17,32 @@
   bool ended_ = false;
 };
 
-/// Follows the jobs. Used on one loop.
+/// Follows the job records in the store. Used on one loop.
 class JobDirectory
 {
 public:
-  /// Both outlive this.
+  /// Both arguments outlive this.
   JobDirectory(GatewayContext& aHost, JobStore& aJobs);
 
-  /// Set before `Start`. A job's owner changed.
+  /// Set before `Start`. Called when a job's owner has changed.
   std::function<void(const JobId&, const KnownJob&)> onOwner_;
   std::function<void(const JobId&)> onEnd_;
 
-  /// @param aWatchAfter when changes are followed, from now on
+  /// @param aWatchAfter delay before the watch of the store starts
   void Start(Duration aWatchAfter = Duration{ 0 });
-  /// Claims nothing more: the process is about to end.
+  /// Stops claiming jobs, because the process is about to end.
   void StopClaiming() { claiming_ = false; }
-  /// @returns where a process is called; empty if it gave no sign of life
+  /// @returns the address of a process; empty if it has no liveness record
   [[nodiscard]] std::string AddressOf(const std::string& aIncarnation) const;
-  /// @returns where the process is called that is to own the jobs of a
-  /// trainer; empty: this one
+  /// @returns the address of the process that owns a trainer's new jobs; empty
+  /// if it is this process
   [[nodiscard]] std::string OwnerFor(std::string_view aTrainer) const
   {
     return owners_.OwnerOf(aTrainer);
   }
   [[nodiscard]] const KnownJob* Find(const JobId& aJob) const;
-  /// @returns whether neither a job's end nor a later owner is known than the
-  /// one of that number
+  /// @returns whether neither the job's end nor an owner with a higher fencing
+  /// number is known
   [[nodiscard]] bool IsCurrent(const JobId& aJob, FencingNumber aFence) const;
   [[nodiscard]] const std::map<JobId, KnownJob>& Jobs() const noexcept
   {
@@ -51,7 +51,7 @@
 
 private:
   void ApplySnapshot(const StoreRange& aRange);
-  /// Forgets jobs that a whole reading of that revision lacks.
+  /// Removes jobs that are missing from a complete read at that revision.
   void RemoveMissing(const std::set<std::string>& aSeen,
                      std::uint64_t aRevision);
   void ApplyChange(const StoreEvent& aEvent);
@@ -63,7 +63,7 @@
   void ApplyEnd(const JobId& aJob);
   void ClaimDue();
   void Claim(const JobId& aJob);
-  /// Removes jobs whose results need not be kept any more.
+  /// Removes ended jobs whose results no longer need to be kept.
   void RemoveExpired();
 
   GatewayContext& host_;
@@ -72,12 +72,14 @@
   JobTakeover takeover_;
   OwnerPlan owners_;
   std::map<JobId, KnownJob> jobs_;
-  /// Keys of signs of life, to see which are missing from a whole reading.
+  /// Keys of liveness records, to detect those that are missing from a
+  /// complete read.
   std::set<std::string> livenessKeys_;
+  /// Ended jobs; an end may be read before the job's owner record.
   std::set<JobId> endedJobs_;
   std::map<std::string, std::string> addresses_;
   bool claiming_ = true;
-  /// Claims whose answer is awaited; each is a call to the store.
+  /// Claims in progress; each is a call to the store.
   std::set<JobId> claims_;
   LoopTimerId claimTimer_ = 0;
 };
--- a/src/programs/gatewayd/job_intake.cpp
+++ b/src/programs/gatewayd/job_intake.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::size_t kMaxIdLength = 100;
-/// A process that is to own a job and does not answer in this time is passed
-/// over; an acceptance is one write to the store, of some milliseconds, and a
-/// trainer's submission is late after 400 ms.
+/// If the process that is to own a job does not answer within this time, the
+/// job is accepted here. An acceptance is one write to the store, which takes
+/// some milliseconds, and a trainer's submission is late after 400 ms.
 constexpr auto kForwardTimeout = std::chrono::milliseconds(200);
 
 std::string_view
@@ -25,7 +25,7 @@
   return kNames.at(static_cast<std::size_t>(aOutcome));
 }
 
-/// @returns `Unknown` unless the answer says otherwise
+/// @returns the outcome in the answer; `Unknown` if there is none
 AcceptOutcome
 ReadForwardOutcome(const RpcReply& aReply)
 {
@@ -133,8 +133,8 @@
     });
 }
 
-/// The answer to the write may come later than word of what happened to the job
-/// since; nobody tells of that again.
+/// The answer to the write may arrive after the notifications of the job's end
+/// or its next owner, which are not repeated.
 void
 JobIntake::StartAccepted(const Submission& aSubmission, FencingNumber aFence)
 {
@@ -147,13 +147,14 @@
              "job_not_started",
              { { "job", job.Get() },
                { "fence", std::to_string(aFence.Get()) },
-               { "why", "it has ended or has a later owner" } });
+               { "why", "it has ended or has a newer owner" } });
     return;
   }
   runner_.Add(job, aFence, aSubmission.record_, aSubmission.spec_, {}, {}, {});
 }
 
-/// The same id twice is the same job, unless two customers drew it.
+/// A repeated id is a retry of the same submission, unless two customers chose
+/// the same id.
 void
 JobIntake::AnswerKnown(const CustomerId& aOwner,
                        const CustomerId& aAsker,
@@ -167,8 +168,8 @@
   }
 }
 
-/// Where the other process may have accepted the job, a refusal here would be
-/// a promise that it does not run.
+/// A refusal promises that the job does not run, so it must not be sent if the
+/// other process may have accepted the job.
 void
 JobIntake::ForwardToOwner(const SubmissionPtr& aSubmission,
                           const std::string& aOwner,
--- a/src/programs/gatewayd/job_intake.hpp
+++ b/src/programs/gatewayd/job_intake.hpp
@@ -1,5 +1,5 @@
-/// Takes in jobs: each is accepted by the process that is to own it, or here
-/// if that one does not answer.
+/// Accepts jobs. Each job is accepted by the process that is to own it, or by
+/// this one if the other does not answer.
 #pragma once
 
 #include "marjoramtally/runtime/http_server.hpp"
@@ -8,14 +8,14 @@
 
 namespace marjoramtally {
 
-/// Whoever could not be answered about a job comes back after this time.
+/// Retry-After for requests about jobs that could not be answered.
 inline constexpr auto kJobRetryAfter = std::chrono::milliseconds(300);
 
-/// @returns whether the id can be part of keys in the store
+/// @returns whether the id may be part of a key in the store
 [[nodiscard]] bool
 IsValidJobId(const JobId& aJob);
 
-/// Answers submissions of callers and of other gateways. Used on one loop.
+/// Answers submissions from callers and from other gateways. Used on one loop.
 class JobIntake
 {
 public:
@@ -25,16 +25,18 @@
             JobDirectory& aDirectory,
             JobRunner& aRunner);
 
-  /// Set before use. Told of each job that was accepted through this process.
+  /// Set before use. Called for each job that was accepted through this
+  /// process.
   std::function<void(const JobId&, std::uint64_t aItems)> onAccepted_;
 
-  /// @param aRevision the configuration whose routes took the request
-  /// @param aCustomer whose job it is; empty: requests need no keys
+  /// @param aRevision the configuration whose routes matched the request
+  /// @param aCustomer the customer that submits the job; empty if requests
+  /// need no keys
   void Submit(HttpRequest aRequest,
               ConfigRevision aRevision,
               HttpReplyPtr aReply,
               const CustomerId& aCustomer);
-  /// No more jobs are taken in.
+  /// Stops accepting jobs.
   void Stop() noexcept { open_ = false; }
   [[nodiscard]] bool Open() const noexcept { return open_; }
 
@@ -48,14 +50,15 @@
   using SubmissionPtr = std::shared_ptr<const Submission>;
   using AcceptDone = std::function<void(AcceptOutcome)>;
 
-  /// Accepts a job in the store and owns it then.
+  /// Writes the acceptance to the store and owns the job afterwards.
   void AcceptHere(const SubmissionPtr& aSubmission, AcceptDone aDone);
-  /// Starts a job that was accepted here, unless it has moved on since.
+  /// Starts a job that was accepted here, unless it has ended or changed its
+  /// owner in the meantime.
   void StartAccepted(const Submission& aSubmission, FencingNumber aFence);
   void ForwardToOwner(const SubmissionPtr& aSubmission,
                       const std::string& aOwner,
                       const HttpReplyPtr& aReply);
-  /// Accepts a job that another gateway hands on.
+  /// Accepts a job that another gateway forwards.
   void ServeForwarded(const RpcCall& aCall, const RpcDone& aDone);
   static void AnswerKnown(const CustomerId& aOwner,
                           const CustomerId& aAsker,
--- a/src/programs/gatewayd/job_runner.cpp
+++ b/src/programs/gatewayd/job_runner.cpp
@@ -9,13 +9,12 @@
 
 namespace {
 
-/// Items that found no upstream are tried again after this time.
+/// Delay before items without a suitable upstream are dispatched again.
 constexpr auto kDispatchRetryDelay = std::chrono::milliseconds(100);
-/// Items are given up this much later than they may be: clocks differ by
-/// some seconds.
+/// Added to the time limit of items, because clocks differ by some seconds.
 constexpr auto kClockSkewMargin = std::chrono::seconds(6);
-/// Results and bodies of a job that ended are told from memory for this long;
-/// later readers ask the store, which is a priced call each.
+/// Results and bodies of an ended job are served from memory for this long;
+/// later reads go to the store, at the cost of one billed call each.
 constexpr auto kEndedRetention = std::chrono::seconds(60);
 
 } // namespace
@@ -143,7 +142,8 @@
   Dispatch();
 }
 
-/// What is done lasts in the store: nobody has to take it over soon.
+/// Finished jobs are complete in the store and need no fast takeover, so they
+/// do not count.
 void
 JobRunner::UpdateUnfinished()
 {
@@ -161,7 +161,7 @@
 JobRunner::HasOpen() const noexcept
 {
   return std::any_of(jobs_.begin(), jobs_.end(), [](const auto& aEntry) {
-    // Of a job without limits nothing runs here.
+    // A job whose limits are unknown has no runs here.
     const OwnedJob& job = aEntry.second;
     return !job.ended_ && !job.ledger_.Done() &&
            job.limits_.config_ != ConfigRevision{};
@@ -182,7 +182,7 @@
   return slots;
 }
 
-/// Demand grows only when a job is taken up.
+/// Called when a job is added, because demand grows only then.
 void
 JobRunner::RecordModelDemand()
 {
@@ -239,7 +239,8 @@
 JobPolicy
 JobRunner::PolicyOf(const OwnedJob& aJob) const
 {
-  // A route that is missing says nothing of limits: the last known ones hold.
+  // A missing route does not change limits: the last known ones remain in
+  // force.
   JobPolicy policy = aJob.limits_;
   const Route* route = routes_.Match(aJob.host_, aJob.path_);
   if (route != nullptr) {
@@ -261,11 +262,11 @@
   return policy;
 }
 
-/// No decision on a job is made by a configuration that cannot know it. Right
-/// after a start a process knows none, and one whose watch lags may know only
-/// an older one. An owner that took its empty table for the removal of a route
-/// listed all 96 items of a job as errored, while the configuration, of 1,400
-/// routes and more, was still being read.
+/// Applies the limits of the current configuration, unless that configuration
+/// is older than the job. A process has no configuration right after its start
+/// and may have an outdated one if its watch lags. Treating an empty route
+/// table as the removal of a route would list all items of a job as errored
+/// while a large configuration (1,400 routes and more) is still being read.
 bool
 JobRunner::ApplyLimits(const JobId& aId, OwnedJob& aJob)
 {
@@ -297,7 +298,8 @@
   return true;
 }
 
-/// Which texts fit depends on whether the route wants one version for each.
+/// Which texts can be reused depends on whether the route requires a single
+/// weight version per text.
 void
 JobRunner::RestoreTexts(OwnedJob& aJob)
 {
--- a/src/programs/gatewayd/job_runner.hpp
+++ b/src/programs/gatewayd/job_runner.hpp
@@ -1,5 +1,5 @@
-/// The jobs that this process owns: sends their items to upstreams, scores
-/// the texts, writes the results.
+/// Runs the jobs that this process owns: sends their items to upstreams,
+/// scores the texts and writes the results.
 #pragma once
 
 #include "marjoramtally/version/job_ledger.hpp"
@@ -9,7 +9,7 @@
 
 namespace marjoramtally {
 
-/// All owned jobs. Used on one loop.
+/// All jobs owned by this process. Used on one loop.
 class JobRunner
 {
 public:
@@ -20,15 +20,15 @@
             Forwarder& aForwarder,
             JobStore& aStore);
 
-  /// Called after results of a job were written.
+  /// Called after results of a job have been written to the store.
   std::function<void(const JobId&)> onListed_;
-  /// Called when this process comes to own jobs that are not done, or owns
-  /// none such any more.
+  /// Called with whether this process owns an unfinished job, when that
+  /// changes.
   std::function<void(bool)> onUnfinishedChanged_;
-  /// Called when this process stops unfinished a job.
+  /// Called when this process stops owning a job.
   std::function<void(const JobId&)> onDropped_;
 
-  /// A job is ours.
+  /// Starts running a job that this process owns.
   /// @param aAge time since its acceptance
   void Add(const JobId& aJob,
            FencingNumber aFence,
@@ -37,18 +37,20 @@
            const std::vector<JobResult>& aListed,
            const std::vector<PartialRecord>& aPartials,
            Duration aAge);
-  /// Another process owns the job.
+  /// Stops running a job, which another process owns now.
   void Drop(const JobId& aJob);
-  /// The job was ended: nothing more is sent.
+  /// Stops all runs of a job that was ended.
   void End(const JobId& aJob);
-  /// Upstreams, versions or routes changed.
+  /// Called when upstreams, weight versions or routes have changed.
   void OnUpstreamsChanged() { Dispatch(); }
-  /// Runs at the upstream's incarnation before are lost; they go on elsewhere.
+  /// Interrupts the idle runs at an upstream that has restarted; their items
+  /// continue at other upstreams.
   void OnUpstreamRestarted(const UpstreamId& aUpstream);
-  /// Gives all jobs back; `Idle` holds once that is done.
+  /// Releases the ownership of all jobs; `Idle` returns true once that is
+  /// done.
   void ReleaseAll();
   [[nodiscard]] bool Idle() const noexcept { return jobs_.empty(); }
-  /// @returns whether a job here still has something to run or to write
+  /// @returns whether an owned job still has items to run or results to write
   [[nodiscard]] bool HasOpen() const noexcept;
 
   [[nodiscard]] bool Owns(const JobId& aJob) const
@@ -56,18 +58,20 @@
     return jobs_.contains(aJob);
   }
   [[nodiscard]] FencingNumber FenceOf(const JobId& aJob) const;
-  /// @returns whose an owned job is
+  /// @returns the customer of an owned job
   [[nodiscard]] const CustomerId& CustomerOf(const JobId& aJob) const
   {
     return jobs_.at(aJob).customer_;
   }
-  /// @returns places that items of the jobs here want, by service
+  /// @returns upstream slots that items of owned jobs hold or wait for, by
+  /// service
   [[nodiscard]] std::map<ServiceId, std::uint64_t> SlotsWanted() const;
-  /// @returns the most places that items of each model have wanted at once
-  /// since the last call: a step of short texts comes and goes between two
+  /// @returns the maximum number of slots wanted at once by items of each
+  /// model since the last call; a step of short texts may begin and end
+  /// between two calls
   [[nodiscard]] std::map<std::string, std::uint64_t> TakeModelDemand();
-  /// @returns runs that have gone on for a while, and so are likely to go on,
-  /// by upstream
+  /// @returns by upstream, the number of runs that have lasted long enough
+  /// that they are likely to continue
   [[nodiscard]] std::map<UpstreamId, std::uint32_t> LongRuns() const;
   /// @returns the ledger of an owned job, or nullptr
   [[nodiscard]] const JobLedger* Find(const JobId& aJob) const;
@@ -97,28 +101,30 @@
 
     std::string host_;
     std::string path_;
-    /// Older configurations cannot tell what is to be done with the job.
+    /// A configuration older than this one may lack the job's routes.
     ConfigRevision acceptedUnder_;
-    /// Whose job it is; empty: it was accepted while requests needed no keys.
+    /// The customer; empty if the job was accepted while requests needed no
+    /// keys.
     CustomerId customer_;
-    /// Of no configuration before one is known that can tell; until then
-    /// nothing is sent or given up.
+    /// Has no configuration until one that covers the job is known; until then
+    /// nothing is sent or abandoned.
     JobPolicy limits_;
     FencingNumber fence_;
     JobLedger ledger_;
-    /// Texts of an earlier owner, until limits say which of them fit.
+    /// Texts of an earlier owner, kept until the limits determine which of
+    /// them can be reused.
     std::vector<PartialRecord> inheritedTexts_;
     TimePoint accepted_;
     TimePoint deadline_ = kNever;
     std::uint64_t sequence_ = 0;
     bool ended_ = false;
     std::map<ItemIndex, RunId> runs_;
-    /// Where items of a group run, for the prompt that they share.
+    /// Upstream of each group, so that its items share the cached prompt.
     std::map<GroupId, UpstreamId> groupUpstreams_;
-    /// Where an item was given up on last.
+    /// The upstream at which an item's last run failed or was stopped.
     std::map<ItemIndex, UpstreamId> avoided_;
     std::map<ItemIndex, ForwardId> scores_;
-    /// When texts of items in progress were last written.
+    /// When partial texts were last written to the store.
     TimePoint lastPartialsWrite_;
   };
 
@@ -137,42 +143,45 @@
     std::uint32_t events_ = 0;
     TimePoint lastProgress_;
     TimePoint started_;
-    /// Why the run is to be given up; empty while it is not.
+    /// Why the answer is rejected; empty if it is valid.
     std::string fault_;
   };
 
-  /// Results on their way to the store; unchanged until it is known whether
-  /// they were written.
+  /// Results being written to the store; unchanged until the outcome of the
+  /// write is known.
   struct Batch
   {
     std::vector<ResultsWrite> writes_;
     std::vector<std::vector<ItemIndex>> items_;
   };
 
-  /// A refused batch whose jobs are looked at one by one.
+  /// A batch that failed a comparison; the outcome is determined for each job
+  /// separately.
   struct Reconciliation
   {
     Batch batch_;
     std::size_t pending_ = 0;
   };
 
-  /// Gives a job the limits of the configuration in force.
-  /// @returns whether that configuration can tell what is to be done with it
-  /// @returns places that a job's items hold or wait for
+  /// @returns upstream slots that a job's items hold or wait for
   [[nodiscard]] std::uint64_t SlotsWantedBy(const OwnedJob& aJob) const;
+  /// Applies the limits of the current configuration to a job.
+  /// @returns whether that configuration is recent enough to know the job
   [[nodiscard]] bool ApplyLimits(const JobId& aId, OwnedJob& aJob);
   [[nodiscard]] JobPolicy PolicyOf(const OwnedJob& aJob) const;
   void RestoreTexts(OwnedJob& aJob);
   void Dispatch();
-  /// @returns whether items wait that may start without another event
+  /// @returns whether items wait that may be able to start without another
+  /// event
   [[nodiscard]] bool DispatchJob(const JobId& aId, OwnedJob& aJob);
-  /// @returns another upstream for an item that may have crashed one, if
-  /// another such is in progress at the one picked and not at the other
+  /// @returns the picked upstream, or another one if the item may have crashed
+  /// an upstream and another such item is in progress at the picked one but
+  /// not at the other
   [[nodiscard]] const TrackedUpstream& PickSeparate(
     Fingerprint aFingerprint,
     const OwnedJob& aJob,
     const TrackedUpstream& aPicked) const;
-  /// @returns whether the item may run
+  /// @returns false if the item is quarantined and has to wait
   [[nodiscard]] bool StartRun(const JobId& aId,
                               OwnedJob& aJob,
                               ItemIndex aItem,
@@ -180,7 +189,7 @@
   [[nodiscard]] HttpCall MakeCall(const OwnedJob& aJob,
                                   ItemIndex aItem,
                                   const UpstreamEntry& aUpstream) const;
-  /// @returns whether the answer is believed
+  /// @returns whether the answer belongs to the item and is valid
   [[nodiscard]] bool OnHead(RunId aId,
                             int aStatus,
                             const HttpHeaders& aHeaders);
@@ -192,9 +201,10 @@
   void StopRuns(OwnedJob& aJob);
   void ScheduleRunCheck();
   void CheckRuns();
-  /// @returns whether a run stands still that had begun
+  /// @returns whether a run that has begun makes no progress
   [[nodiscard]] bool Stalled(const Run& aRun) const;
-  /// @returns whether a run waits in vain at an upstream that is quiet
+  /// @returns whether a run has received nothing and its upstream is
+  /// unresponsive
   [[nodiscard]] bool Unanswered(const Run& aRun) const;
   [[nodiscard]] bool ShouldMove(const Run& aRun) const;
 
@@ -202,7 +212,7 @@
   void StartScore(const JobId& aId, OwnedJob& aJob, ItemIndex aItem);
   void OnScore(const JobId& aId, ItemIndex aItem, ForwardOutcome aOutcome);
 
-  /// Adds what is to be written of a job to a batch.
+  /// Adds the results and partial texts of a job to a batch.
   void AddToBatch(const JobId& aId,
                   OwnedJob& aJob,
                   const std::vector<ItemIndex>& aItems,
@@ -214,24 +224,26 @@
   [[nodiscard]] bool PartialsDue(const OwnedJob& aJob) const;
   void ReleaseJobs();
 
-  /// Scores, writes and starts whatever may be.
+  /// Starts scores and items that are ready and schedules the next write.
   void Advance(const JobId& aId, OwnedJob& aJob);
   void ScheduleFlush();
   void Flush();
   void SendBatch();
   void OnBatchEnd(WriteOutcome aEnd);
   void FinishBatch();
-  /// Finds out what became of a batch that a comparison refused.
+  /// Determines for each job of a batch that failed a comparison whether its
+  /// results were written.
   void ReconcileBatch();
   void ReconcileWrite(const std::shared_ptr<Reconciliation>& aReconciliation,
                       std::size_t aIndex,
                       const Result<StoreRange>& aRange);
-  /// @param aAgain whether the write is to be sent again
+  /// @param aAgain whether the write is sent again
   void FinishReconciliation(
     const std::shared_ptr<Reconciliation>& aReconciliation,
     std::size_t aIndex,
     bool aAgain);
-  /// @returns the job under the number that a write was made with, or nullptr
+  /// @returns the job if it is still owned under the write's fencing number,
+  /// or nullptr
   [[nodiscard]] OwnedJob* WriterOf(const ResultsWrite& aWrite);
   void SaveTexts(OwnedJob& aJob);
   void UpdateUnfinished();
@@ -244,7 +256,8 @@
   JobStore& store_;
   std::map<JobId, OwnedJob> jobs_;
   std::uint64_t lastSequence_ = 0;
-  /// The most places wanted at once since they were last asked for, by model.
+  /// The maximum number of slots wanted at once since the last
+  /// `TakeModelDemand`, by model.
   std::map<std::string, std::uint64_t> modelDemand_;
   std::map<RunId, Run> runs_;
   RunId lastRun_ = 0;
--- a/src/programs/gatewayd/job_runner_results.cpp
+++ b/src/programs/gatewayd/job_runner_results.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-/// Results that finish within this time are written together: each write is
-/// a priced call, and a step has seconds.
+/// Results that finish within this time are written together, because each
+/// write is a billed call and a step takes seconds.
 constexpr auto kFlushDelay = std::chrono::milliseconds(200);
-/// The last results of a job are what its trainer waits for.
+/// The trainer waits for the last results of a job, so they are written
+/// sooner.
 constexpr auto kFinalFlushDelay = std::chrono::milliseconds(20);
-/// A write that failed is tried again after this time.
+/// Delay before a failed write is sent again.
 constexpr auto kFlushRetryDelay = std::chrono::milliseconds(250);
-/// Most jobs of one write: each takes four of the store's 32 entries.
+/// Each job takes four of the 32 entries of a store transaction.
 constexpr std::size_t kMaxJobsPerWrite = 7;
-/// Most bytes of results in one record; a value of the store holds 1 MiB.
+/// Maximum size of the results in one record; a value in the store is limited
+/// to 1 MiB.
 constexpr std::size_t kMaxRecordBytes = 600U * 1024U;
-/// Texts in progress are written so often, with results where there are any:
-/// what the next owner need not make anew.
+/// Interval at which partial texts are written, together with any results, so
+/// that the next owner can resume them.
 constexpr auto kPartialsInterval = std::chrono::milliseconds(1500);
-/// Shorter texts are sooner made anew than read.
+/// Texts with fewer events are faster to generate again than to read.
 constexpr std::uint64_t kMinPartialEvents = 5;
-/// Scoring is tried again after this time.
 constexpr auto kScoreRetryDelay = std::chrono::milliseconds(150);
 
 void
@@ -271,7 +272,7 @@
     job.ledger_.AbandonOverdue(now);
     const bool partials = !job.runs_.empty() && PartialsDue(job) &&
                           !job.ledger_.AwaitsLastGroups(now);
-    // A write that is made anyway takes all results along.
+    // Since a write is made anyway, it includes all finished results.
     const std::vector<ItemIndex> items =
       partials ? job.ledger_.Finished() : job.ledger_.Listable(now);
     if (!items.empty() || partials) {
@@ -310,7 +311,8 @@
       return;
     case WriteOutcome::Refused:
     case WriteOutcome::Unknown:
-      // The same writes again: whichever of the two lands first is right.
+      // Sends the same writes again: either copy is correct if it is applied
+      // first.
       host_.Timers().After(kFlushRetryDelay, [this] { SendBatch(); });
       return;
   }
@@ -340,8 +342,9 @@
   ScheduleFlush();
 }
 
-/// A job that was lost and claimed again since has a ledger that was read from
-/// the store under its new number; what an old write of ours did is in it.
+/// A job that was lost and claimed again has a ledger that was read from the
+/// store under its new fencing number and already includes the effect of an
+/// older write.
 JobRunner::OwnedJob*
 JobRunner::WriterOf(const ResultsWrite& aWrite)
 {
@@ -350,10 +353,10 @@
   return same ? &it->second : nullptr;
 }
 
-/// Each job is looked at alone: its record at this position either is ours or
-/// another owner stands behind the comparison that failed. Else another job's
-/// comparison failed; an earlier copy of the write may still land, so it is
-/// sent again unchanged.
+/// Checks each job separately. If a record exists at the position, either this
+/// write was applied or another owner wrote it. If there is none and the owner
+/// is unchanged, another job's comparison failed; an earlier copy of the write
+/// may still be applied, so it is sent again unchanged.
 void
 JobRunner::ReconcileBatch()
 {
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-/// A stream that makes nothing for so many times its upstream's pace moves to
-/// another with room: a change of weights holds runs up for 0.9 s, and going
-/// on elsewhere reads the prompt again in some milliseconds.
+/// A stream without events for this many times its upstream's pace moves to
+/// another upstream with free slots. A change of weights pauses runs for 0.9
+/// s, and another upstream reads the prompt again in some milliseconds.
 constexpr std::int64_t kStallPaceFactor = 6;
 constexpr auto kMinStall = std::chrono::milliseconds(200);
-/// A stream that has not begun may wait for a slot at its upstream, where
-/// others sent items too; moving it would put it at the end of another queue.
+/// Time limit for the first event. The stream may be queued for a slot at its
+/// upstream behind items of other gateways, and moving it would put it at the
+/// end of another queue.
 constexpr auto kFirstEventTimeout = std::chrono::milliseconds(3000);
-/// A stream that has not begun moves after this time already if its upstream
-/// lets nothing be heard at all and another has room: a zone that is cut off
-/// is full of such upstreams.
+/// A stream without a first event moves after this shorter time if its
+/// upstream is unresponsive and another has free slots, since all upstreams of
+/// an isolated zone are affected.
 constexpr auto kUnresponsiveTimeout = std::chrono::milliseconds(600);
-/// Most texts are done by then; one that is not takes some seconds more.
+/// Most texts are complete by this age; one that is not takes some seconds
+/// more.
 constexpr auto kLongRunAge = std::chrono::milliseconds(1200);
-/// How often runs are looked at while there are any.
 constexpr auto kRunCheckInterval = std::chrono::milliseconds(120);
 
 } // namespace
@@ -69,7 +70,8 @@
   call.body_ = item.body_;
   call.timeout_ = left;
   call.connectTimeout_ = kUpstreamConnectTimeout;
-  // A failure that comes twice must not count for the next run of the item.
+  // On a reused connection, a duplicate answer to the failed run would count
+  // as a failure of the next run.
   call.newConnection_ = aJob.ledger_.RunFailed(aItem);
   return call;
 }
@@ -106,7 +108,7 @@
   const Fingerprint fingerprint =
     FingerprintOf("POST", aJob.host_, item.path_, item.body_);
   if (forwarder_.Crashes().Judge(fingerprint).refused_) {
-    // It waits; others of its job go on.
+    // The item waits; other items of its job continue.
     return false;
   }
   const TrackedUpstream& upstream = PickSeparate(fingerprint, aJob, aUpstream);
@@ -160,11 +162,11 @@
   const auto echo = FindHeader(aHeaders, names.attempt_);
   run.status_ = aStatus;
   run.notRun_ = FindHeader(aHeaders, names.notRun_).has_value();
-  // As for requests (`Forwarder::Doubt`); a second answer without an id might
-  // even prove a text complete that is not.
+  // As for requests (`Forwarder::Doubt`). A duplicate answer without an id
+  // might also make an incomplete text appear complete.
   if (echo.value_or("") != item.id_.Get()) {
     run.fault_ = echo ? "the answer belongs to another request"
-                      : "the answer does not name the item";
+                      : "the answer does not contain the item's id";
   } else if (aStatus == 200 && !FindHeader(aHeaders, names.signature_)) {
     run.fault_ = "the answer is not signed";
   }
@@ -246,8 +248,9 @@
     host_.Measures().Count("upstream_connections_total{for=\"items\"}");
   }
   const bool ran = complete && !aRun.notRun_ && aRun.status_ != 421;
-  // What crashes an upstream does so as it begins: a run with events did not.
-  // A text takes 7 s, so that two deaths of other causes hit one now and then.
+  // A request that crashes an upstream does so at its start, so a run with
+  // events is not counted. A text takes 7 s, so an unrelated crash hits the
+  // same text twice now and then.
   const bool broken = aResult.end_ == HttpEnd::Broken && aRun.events_ == 0;
   forwarder_.Crashes().OnEnd(aRun.fingerprint_,
                              aRun.upstream_,
@@ -347,7 +350,7 @@
           jobs_.at(run.job_).ledger_.Spec().items_[run.item_].id_.Get() },
         { "upstream", aUpstream.Get() },
         { "events", std::to_string(run.events_) },
-        { "why", "the upstream has started again" } });
+        { "why", "the upstream has restarted" } });
     StopRun(id,
             CallVerdict::Abandoned,
             run.events_ == 0 ? CallEnd::Broken : CallEnd::Other);
@@ -424,8 +427,8 @@
       upstreamTable_.Unresponsive(*other, host_.Now())) {
     return false;
   }
-  // A run that was ignored needs proof that the other is better: it was heard
-  // while this one waited.
+  // An unanswered run moves only to an upstream that has responded while the
+  // run waited.
   return !Unanswered(aRun) || other->lastReceivedAt_ > aRun.lastProgress_;
 }
 
@@ -456,7 +459,7 @@
     jobs_.at(run.job_).avoided_[run.item_] = run.upstream_;
     StopRun(id, CallVerdict::Failed);
   }
-  // One after the other: each move changes what is free.
+  // Moved one at a time, because each move changes which slots are free.
   for (const RunId id : slow) {
     const Run& run = runs_.at(id);
     if (!ShouldMove(run)) {
@@ -470,7 +473,7 @@
         { "upstream", run.upstream_.Get() },
         { "events", std::to_string(run.events_) } });
     jobs_.at(run.job_).avoided_[run.item_] = run.upstream_;
-    // One that stands still gets no other item for a while.
+    // An upstream whose run has stalled gets no other item for a while.
     const bool still = Stalled(run) || Unanswered(run);
     StopRun(id, still ? CallVerdict::Loading : CallVerdict::Abandoned);
     Dispatch();
--- a/src/programs/gatewayd/job_store.cpp
+++ b/src/programs/gatewayd/job_store.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// A submission is stored in parts of this size: a value of the store holds
-/// 1 MiB at most.
+/// A submission is stored in parts of this size, because a value in the store
+/// is limited to 1 MiB.
 constexpr std::size_t kPartBytes = 700U * 1024U;
 
-/// Removals in one transaction; the store takes 32 entries.
+/// Keys removed in one transaction; the store allows 32 entries.
 constexpr std::size_t kMaxRemovalsPerTxn = 30;
 
 void
@@ -37,8 +37,9 @@
   return ReadSubmissionRecord(text);
 }
 
-/// `BadInput` is for what is stored; an answer that makes no sense says nothing
-/// of that, and the next one may.
+/// Maps `BadInput` to `Internal`: `BadInput` is reserved for unreadable stored
+/// records, while a malformed answer of the store may be followed by a valid
+/// one.
 Error
 ToReadError(const Error& aError)
 {
@@ -110,8 +111,8 @@
   SortByKey(records);
   std::vector<JobResult> results;
   for (const StoreRecord& record : records) {
-    // Readers know results by their positions, and a missing record would move
-    // all that stand behind it.
+    // Readers identify results by position, and a missing record would shift
+    // all results after it.
     const std::string next = job_keys::ResultsAt(aJob, results.size());
     if (record.key_ != next) {
       return Error{ ErrorKind::BadInput,
@@ -273,7 +274,8 @@
                   return;
                 }
                 for (const StoreRecord& record : aRange.value().records_) {
-                  // Other jobs' names may begin with this one's.
+                  // The read is by prefix, and another job's id may begin with
+                  // this one.
                   if (record.key_ != key) {
                     continue;
                   }
@@ -281,7 +283,7 @@
                   if (texts) {
                     job.partials_ = std::move(texts).value();
                   } else {
-                    // The texts are made anew.
+                    // Without the record, the texts are generated again.
                     LogEvent(LogLevel::Error,
                              "record_unreadable",
                              { { "key", record.key_ },
@@ -401,9 +403,10 @@
               });
 }
 
-/// The owner record goes last, and not before all others are known to be gone:
-/// as long as it stands, the job is known and its removal is tried again. Its
-/// end goes with it, or a job without its end would be run again.
+/// The owner record is removed last, after all other removals are confirmed:
+/// while it exists, the job is listed and its removal is retried. The end is
+/// removed in the same transaction, because a job without its end would be run
+/// again.
 void
 JobStore::RemoveKeys(const JobId& aJob, std::vector<std::string> aKeys)
 {
--- a/src/programs/gatewayd/job_store.hpp
+++ b/src/programs/gatewayd/job_store.hpp
@@ -1,8 +1,9 @@
-/// Jobs in the platform's store: their submissions, owners, results, ends.
+/// Reads and writes jobs in the platform's store: submissions, owners, results
+/// and ends.
 ///
 /// A job is accepted by the transaction that creates its owner record. Each
-/// later write of an owner compares that record's revision, so that an owner
-/// that was replaced, however late it notices, writes nothing more.
+/// later write of an owner compares the revision of that record, so that a
+/// replaced owner cannot write anything, however late it notices.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -13,7 +14,7 @@
 /// Keys in the store.
 namespace job_keys {
 
-/// Followed by all processes: owners, ends and signs of life.
+/// Prefix followed by all processes: owners, ends and liveness records.
 inline constexpr const char* kControl = "mt/c/";
 inline constexpr const char* kOwners = "mt/c/own/";
 inline constexpr const char* kEnds = "mt/c/end/";
@@ -34,35 +35,35 @@
 /// Prefix of the records of results.
 [[nodiscard]] std::string
 Results(const JobId& aJob);
-/// The record whose first result stands at the position.
+/// Key of the record whose first result is at the position.
 [[nodiscard]] std::string
 ResultsAt(const JobId& aJob, std::uint64_t aPosition);
-/// Texts made so far of items that are not listed.
+/// Key of the partial texts of items that are not listed.
 [[nodiscard]] std::string
 Partials(const JobId& aJob);
 
 } // namespace job_keys
 
-/// How an acceptance ended.
+/// Outcome of an acceptance.
 enum class AcceptOutcome
 {
   Accepted,
-  /// The job was accepted before.
+  /// The job was already accepted earlier.
   Known,
   /// Nothing was written.
   Refused,
-  /// It may or may not have been accepted.
+  /// The job may or may not have been accepted.
   Unknown,
 };
 
-/// What came of an acceptance.
+/// An acceptance's outcome and, if accepted, its fencing number.
 struct AcceptResult
 {
   AcceptOutcome outcome_ = AcceptOutcome::Unknown;
   FencingNumber fence_;
 };
 
-/// A job as it stands in the store.
+/// A job as stored.
 struct StoredJob
 {
   JobSubmissionRecord submission_;
@@ -70,27 +71,28 @@
   std::vector<PartialRecord> partials_;
 };
 
-/// Results of one job to be written at its next positions.
+/// Results of one job to be written at its next position.
 struct ResultsWrite
 {
   JobId job_;
   FencingNumber fence_;
   std::uint64_t position_ = 0;
-  /// The encoded results; empty writes none.
+  /// The encoded results; not written if empty.
   std::string record_;
-  /// Encoded texts of the items that are not listed; empty writes none.
+  /// The encoded partial texts of items that are not listed; not written if
+  /// empty.
   std::string partials_;
 };
 
-/// How a write of results ended.
+/// Outcome of a write of results.
 enum class WriteOutcome
 {
   Written,
-  /// Nothing was written; try again.
+  /// Nothing was written; the write can be retried.
   Refused,
   /// One of the jobs has another owner.
   Fenced,
-  /// The writes may have taken effect, now or later.
+  /// The writes may or may not have taken effect, and may still do so later.
   Unknown,
 };
 
@@ -104,28 +106,28 @@
               const JobSubmissionRecord& aSubmission,
               std::uint64_t aTotal,
               std::function<void(AcceptResult)> aDone);
-  /// @param aDone told `BadInput` if what is stored makes no sense
+  /// @param aDone called with `BadInput` if the stored records cannot be read
   void Load(const JobId& aJob, StoreDone<StoredJob> aDone);
   void LoadSubmission(const JobId& aJob, StoreDone<JobSubmissionRecord> aDone);
   /// Reads the owner record; nothing if there is no such job.
   void ReadOwner(const JobId& aJob,
                  StoreDone<std::optional<StoreRecord>> aDone);
-  /// Makes another process, or none, the owner.
-  /// @param aDone told the new fencing number, or nothing if another process
-  /// was faster
+  /// Changes the owner; an empty owner releases the job.
+  /// @param aDone called with the new fencing number, or nothing if the owner
+  /// had already changed
   void ChangeOwner(const JobId& aJob,
                    const JobOwnerRecord& aRecord,
                    FencingNumber aKnown,
                    StoreDone<std::optional<FencingNumber>> aDone);
   void WriteResults(const std::vector<ResultsWrite>& aWrites,
                     std::function<void(WriteOutcome)> aDone);
-  /// Writes the last results of an owner that gives the job back.
+  /// Writes the last results of an owner and releases the job.
   void Release(const ResultsWrite& aWrite,
                const JobOwnerRecord& aRecord,
                std::function<void(WriteOutcome)> aDone);
   void End(const JobId& aJob, std::function<void(bool)> aDone);
-  /// Removes all records of a job. What failed is logged; as long as the job's
-  /// owner record stands, it can be removed again.
+  /// Removes all records of a job. Failures are logged; the removal can be
+  /// repeated as long as the job's owner record exists.
   void Remove(const JobId& aJob, std::uint64_t aRecords);
 
 private:
@@ -144,8 +146,8 @@
   Store& store_;
 };
 
-/// @returns the results of a job's records in their order, or an error that
-/// names the first record that is missing or cannot be read
+/// @returns the results of a job's records in order, or an error that names
+/// the first record that is missing or unreadable
 [[nodiscard]] Result<std::vector<JobResult>>
 JoinResults(const JobId& aJob, const std::vector<StoreRecord>& aRecords);
 
--- a/src/programs/gatewayd/partial_texts.hpp
+++ b/src/programs/gatewayd/partial_texts.hpp
@@ -1,6 +1,6 @@
-/// Texts of items whose job was ended before they were listed. Groups that
-/// were not whole come again in a later job of the same trainer, under the
-/// same ids, and go on from here.
+/// Partial texts of items whose job ended before they were listed. A later job
+/// of the same trainer may contain the incomplete groups again under the same
+/// item ids and resume from these texts.
 #pragma once
 
 #include "marjoramtally/version/job_ledger.hpp"
@@ -9,15 +9,15 @@
 
 namespace marjoramtally {
 
-/// A bounded store of texts by item; the oldest yield.
+/// Holds a bounded number of texts by item; evicts the oldest.
 class PartialTexts
 {
 public:
-  /// Most texts kept: some steps of a large trainer.
+  /// Enough for some steps of a large trainer.
   static constexpr std::size_t kMaxTexts = 2048;
 
   void Put(const ItemId& aItem, PartialText aText);
-  /// Takes the text of an item out, if there is one.
+  /// Removes and returns the text of an item, if there is one.
   [[nodiscard]] std::optional<PartialText> Take(const ItemId& aItem);
 
 private:
--- a/src/programs/gatewayd/remote_results.cpp
+++ b/src/programs/gatewayd/remote_results.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// What nobody has asked for here for this long is forgotten; readers come
+/// Results are evicted if they are not requested for this long; readers poll
 /// about twice a second.
 constexpr auto kRetention = std::chrono::seconds(6);
-/// An owner that does not answer in this time is passed over.
+/// The store is read if the owner does not answer within this time.
 constexpr auto kOwnerTimeout = std::chrono::milliseconds(300);
 
 } // namespace
@@ -79,7 +79,8 @@
 void
 RemoteResults::QueryStore(const JobId& aJob, std::function<void(bool)> aDone)
 {
-  // Records begin where the ones before them end.
+  // A record's key holds the position of its first result, so the next
+  // record's key follows that of the last result held.
   const std::size_t held = cache_[aJob].results_.size();
   const std::string lastKey =
     held == 0 ? std::string() : job_keys::ResultsAt(aJob, held - 1);
@@ -98,7 +99,7 @@
                       std::uint64_t aPosition,
                       std::vector<JobResult> aResults)
 {
-  // Another reading may have been faster.
+  // Another read may have completed first.
   const std::size_t held = aCached.results_.size();
   if (aPosition > held || aPosition + aResults.size() <= held) {
     return;
@@ -108,8 +109,8 @@
             std::back_inserter(aCached.results_));
 }
 
-/// What cannot be read is not taken for what is not there: a reader may have
-/// seen it elsewhere.
+/// An unreadable or missing record is an error rather than the end of the
+/// results, because a reader may have seen its results at another process.
 bool
 RemoteResults::AppendRecords(const JobId& aJob,
                              CachedJob& aCached,
@@ -124,7 +125,7 @@
     const std::size_t held = aCached.results_.size();
     const std::string next = job_keys::ResultsAt(aJob, held);
     if (record.key_ < next) {
-      // Another reading was faster.
+      // Another read completed first.
       continue;
     }
     if (record.key_ > next) {
--- a/src/programs/gatewayd/remote_results.hpp
+++ b/src/programs/gatewayd/remote_results.hpp
@@ -1,24 +1,24 @@
-/// Results of jobs that other processes own, read from the store when
-/// somebody asks for them here.
+/// Results of jobs that other processes own, read on request.
 #pragma once
 
 #include "programs/gatewayd/job_store.hpp"
 
 namespace marjoramtally {
 
-/// What was read of such jobs; each reading asks only for what is new. Used
-/// on one loop.
+/// Caches the results read so far; each read requests only newer ones. Used on
+/// one loop.
 class RemoteResults
 {
 public:
   explicit RemoteResults(GatewayContext& aHost);
 
-  /// Reads what was written since the last reading, from the job's owner or,
-  /// if it does not answer, from the store. A watch would miss what is written
-  /// while the store keeps silent, and a position that was read elsewhere has
-  /// to be here at once.
-  /// @param aOwner where the owner is called; empty: not known
-  /// @param aWait how long the owner may wait for what is new
+  /// Reads the results since the last read from the job's owner or, if it does
+  /// not answer, from the store. A watch would miss what is written while the
+  /// store is unresponsive, and a result that was read at another process has
+  /// to be visible here at once.
+  /// @param aOwner the owner's address; empty if unknown
+  /// @param aWait how long the owner may wait for new results
+  /// @param aDone called with whether the read succeeded
   void Refresh(const JobId& aJob,
                const std::string& aOwner,
                Duration aWait,
@@ -38,11 +38,12 @@
                   const std::string& aOwner,
                   Duration aWait,
                   std::function<void(bool aRead)> aDone);
-  /// Appends results that stand from a position on.
+  /// Appends the results, which begin at the position, without duplicates.
   static void Append(CachedJob& aCached,
                      std::uint64_t aPosition,
                      std::vector<JobResult> aResults);
-  /// @returns whether all records were read, none missing before another
+  /// @returns whether all records could be read and there was no gap between
+  /// them
   static bool AppendRecords(const JobId& aJob,
                             CachedJob& aCached,
                             std::vector<StoreRecord> aRecords);
