--- a/src/programs/orderd/duty_lease.cpp
+++ b/src/programs/orderd/duty_lease.cpp
@@ -16,14 +16,14 @@
 constexpr const char* kLastHolderKey = "mt/duty/orders-last";
 
 /// Pause after a failure.
-constexpr auto kRestTime = std::chrono::milliseconds(500);
+constexpr auto kRetryPause = std::chrono::milliseconds(500);
 /// Where upstreams check no fencing numbers, another instance than the last
 /// holder has to wait out its turn, 3 s; so at a start the last holder gets
 /// this much time to come back, which processes that are killed together do
 /// within some 100 ms of each other. Without it and the record of the last
 /// holder no orders went out for 4.2 s after all processes were killed; with
 /// them, for 0.6 s, of which the processes were down for 0.5 s.
-constexpr auto kLastHolderFirst = std::chrono::milliseconds(500);
+constexpr auto kLastHolderHeadStart = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -39,16 +39,16 @@
            [own = InstanceOf(aHost.Incarnation())](const std::string& aOther) {
              return InstanceOf(aOther) == own;
            } })
-  , holders_(aHost.PlatformStore(), aHost.Timers(), kDutyPrefix)
+  , dutyRecords_(aHost.PlatformStore(), aHost.Timers(), kDutyPrefix)
 {
   key_.onHeld_ = [this](FencingNumber aFence) { OnHeld(aFence); };
   key_.onLost_ = [this] { End(); };
-  holders_.onChange_ = [this](const StoreEvent& aEvent) {
+  dutyRecords_.onChange_ = [this](const StoreEvent& aEvent) {
     if (aEvent.deleted_ && aEvent.record_.key_ == kDutyKey) {
       key_.Retry();
     }
   };
-  holders_.onAll_ = [this](const StoreRange& aRange) {
+  dutyRecords_.onAll_ = [this](const StoreRange& aRange) {
     const bool held = std::any_of(
       aRange.records_.begin(),
       aRange.records_.end(),
@@ -66,11 +66,11 @@
     Contend();
     return;
   }
-  ReadLastHolder([this](std::optional<bool> aOurs) {
-    if (aOurs.value_or(true)) {
+  ReadLastHolder([this](std::optional<bool> aWasSelf) {
+    if (aWasSelf.value_or(true)) {
       Contend();
     } else {
-      host_.Timers().After(kLastHolderFirst, [this] { Contend(); });
+      host_.Timers().After(kLastHolderHeadStart, [this] { Contend(); });
     }
   });
 }
@@ -80,7 +80,7 @@
 {
   if (!stopped_) {
     key_.Start();
-    holders_.Start();
+    dutyRecords_.Start();
   }
 }
 
@@ -90,13 +90,13 @@
   host_.PlatformStore().Read(
     kLastHolderKey,
     [this, done = std::move(aDone)](const Result<StoreRange>& aRange) {
-      std::optional<bool> ours;
+      std::optional<bool> wasSelf;
       if (aRange && !aRange.value().records_.empty()) {
-        ours = aRange.value().records_.front().value_ ==
-               InstanceOf(host_.Incarnation()).Get();
+        wasSelf = aRange.value().records_.front().value_ ==
+                  InstanceOf(host_.Incarnation()).Get();
       }
-      lastHolder_ = ours.value_or(false);
-      done(ours);
+      isLastHolder_ = wasSelf.value_or(false);
+      done(wasSelf);
     });
 }
 
@@ -109,11 +109,11 @@
     { kLastHolderKey, InstanceOf(host_.Incarnation()).Get(), 0 });
   host_.PlatformStore().Commit(
     std::move(txn), [this, aFence](const Result<StoreCommit>& aEnd) {
-      lastHolder_ = aEnd && aEnd.value().applied_;
-      if (lastHolder_) {
+      isLastHolder_ = aEnd && aEnd.value().applied_;
+      if (isLastHolder_) {
         BeginOnceHeld(aFence);
       } else if (!aEnd) {
-        host_.Timers().After(kRestTime,
+        host_.Timers().After(kRetryPause,
                              [this, aFence] { BeginOnceHeld(aFence); });
       }
     });
@@ -124,7 +124,7 @@
 {
   stopped_ = true;
   End();
-  holders_.Stop();
+  dutyRecords_.Stop();
   key_.Release();
 }
 
@@ -132,11 +132,11 @@
 DutyLease::Withdraw()
 {
   End();
-  holders_.Stop();
-  const Duration since = host_.Now() - lastCall_;
-  const Duration rest =
+  dutyRecords_.Stop();
+  const Duration since = host_.Now() - lastCallAt_;
+  const Duration remaining =
     std::max(host_.Settings().orderTurn_ - since, Duration{ 0 });
-  host_.Timers().After(rest, [this] { key_.Release(); });
+  host_.Timers().After(remaining, [this] { key_.Release(); });
 }
 
 void
@@ -145,7 +145,7 @@
   LogEvent(LogLevel::Info,
            "duty_held",
            { { "duty", "orders" }, { "fence", std::to_string(aFence.Get()) } });
-  awaited_ = aFence;
+  pendingFence_ = aFence;
   // A holder whose lease lapsed was out of reach, and upstreams refuse its
   // number from our first order on. Where they check none, its last orders
   // have to be over; our own instance's are.
@@ -153,9 +153,9 @@
     BeginOnceHeld(aFence);
     return;
   }
-  ReadLastHolder([this, aFence](std::optional<bool> aOurs) {
+  ReadLastHolder([this, aFence](std::optional<bool> aWasSelf) {
     const Duration wait =
-      aOurs.value_or(false) ? Duration{ 0 } : host_.Settings().orderTurn_;
+      aWasSelf.value_or(false) ? Duration{ 0 } : host_.Settings().orderTurn_;
     host_.Timers().After(wait, [this, aFence] { BeginOnceHeld(aFence); });
   });
 }
@@ -165,12 +165,13 @@
 void
 DutyLease::BeginOnceHeld(FencingNumber aFence)
 {
-  if (awaited_ != aFence || active_) {
+  if (pendingFence_ != aFence || active_) {
     return;
   }
   if (!key_.Held()) {
-    host_.Timers().After(kRestTime, [this, aFence] { BeginOnceHeld(aFence); });
-  } else if (host_.Settings().fencing_ || lastHolder_) {
+    host_.Timers().After(kRetryPause,
+                         [this, aFence] { BeginOnceHeld(aFence); });
+  } else if (host_.Settings().fencing_ || isLastHolder_) {
     Begin();
   } else {
     WriteLastHolder(aFence);
@@ -194,7 +195,7 @@
     LogEvent(LogLevel::Info, "duty_lost", { { "duty", "orders" } });
   }
   active_ = false;
-  awaited_ = {};
+  pendingFence_ = {};
   host_.Measures().Set("duty_fence", 0);
   for (const Listener& listener : listeners_) {
     listener.onEnd_();
--- a/src/programs/orderd/duty_lease.hpp
+++ b/src/programs/orderd/duty_lease.hpp
@@ -33,7 +33,7 @@
   /// Gives the lease back while the process lives on.
   void Withdraw();
   /// A call under the lease is being sent.
-  void OnCalled() { lastCall_ = host_.Now(); }
+  void OnCallSent() { lastCallAt_ = host_.Now(); }
   /// A call was refused for a higher fencing number.
   void OnFenced();
 
@@ -67,15 +67,15 @@
 
   GatewayContext& host_;
   LeasedKey key_;
-  PrefixFollower holders_;
+  PrefixFollower dutyRecords_;
   std::vector<Listener> listeners_;
   /// The number under which the duties are to begin; none: they are not ours.
-  FencingNumber awaited_;
+  FencingNumber pendingFence_;
   /// The record of the last holder names this instance.
-  bool lastHolder_ = false;
+  bool isLastHolder_ = false;
   bool active_ = false;
   bool stopped_ = false;
-  TimePoint lastCall_;
+  TimePoint lastCallAt_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/orderd/gateway_poll.cpp
+++ b/src/programs/orderd/gateway_poll.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 /// Where gateways keep their signs of life.
-constexpr std::string_view kLives = "mt/c/live/";
+constexpr std::string_view kLivenessPrefix = "mt/c/live/";
 /// What a gateway counted since the last round is lost with it.
-constexpr auto kPollPause = std::chrono::milliseconds(1000);
-constexpr auto kAskTimeout = std::chrono::milliseconds(800);
+constexpr auto kPollInterval = std::chrono::milliseconds(1000);
+constexpr auto kPollTimeout = std::chrono::milliseconds(800);
 /// One gateway asks so many others on behalf of the holder, whose calls and
 /// connections so stay few.
-constexpr std::size_t kMostAsked = 32;
+constexpr std::size_t kMaxGroupSize = 32;
 /// Clocks that differ by less are taken for equal.
-constexpr auto kSmallStep = std::chrono::milliseconds(3);
+constexpr auto kMinClockCorrection = std::chrono::milliseconds(3);
 
 } // namespace
 
@@ -35,23 +35,23 @@
 {
   offset_ = host_.WallTime() - (host_.Now() - TimePoint{});
   calibrated_ = false;
-  lives_ = std::make_unique<PrefixFollower>(
-    host_.PlatformStore(), host_.Timers(), std::string(kLives));
-  lives_->onAll_ = [this](const StoreRange& aRange) {
-    gateways_.clear();
+  livenessRecords_ = std::make_unique<PrefixFollower>(
+    host_.PlatformStore(), host_.Timers(), std::string(kLivenessPrefix));
+  livenessRecords_->onAll_ = [this](const StoreRange& aRange) {
+    liveGateways_.clear();
     for (const StoreRecord& record : aRange.records_) {
-      TakeLife(record);
+      OnLivenessRecord(record);
     }
   };
-  lives_->onChange_ = [this](const StoreEvent& aEvent) {
+  livenessRecords_->onChange_ = [this](const StoreEvent& aEvent) {
     if (aEvent.deleted_) {
-      DropLife(aEvent.record_.key_);
+      OnLivenessDeleted(aEvent.record_.key_);
     } else {
-      TakeLife(aEvent.record_);
+      OnLivenessRecord(aEvent.record_);
     }
   };
-  lives_->Start();
-  timer_ = host_.Timers().After(kPollPause / 4, [this] { Ask(); });
+  livenessRecords_->Start();
+  timer_ = host_.Timers().After(kPollInterval / 4, [this] { StartRound(); });
 }
 
 void
@@ -59,52 +59,54 @@
 {
   ++round_;
   host_.Timers().Cancel(std::exchange(timer_, 0));
-  lives_.reset();
-  gateways_.clear();
+  livenessRecords_.reset();
+  liveGateways_.clear();
 }
 
 void
-GatewayPoll::TakeLife(const StoreRecord& aRecord)
+GatewayPoll::OnLivenessRecord(const StoreRecord& aRecord)
 {
-  auto life = ReadLivenessRecord(aRecord.value_);
-  if (life) {
-    gateways_[aRecord.key_.substr(kLives.size())] = std::move(life).value();
+  auto liveness = ReadLivenessRecord(aRecord.value_);
+  if (liveness) {
+    liveGateways_[aRecord.key_.substr(kLivenessPrefix.size())] =
+      std::move(liveness).value();
   } else {
-    LogEvent(LogLevel::Warn,
-             "record_unreadable",
-             { { "key", aRecord.key_ }, { "error", life.error().message_ } });
+    LogEvent(
+      LogLevel::Warn,
+      "record_unreadable",
+      { { "key", aRecord.key_ }, { "error", liveness.error().message_ } });
   }
 }
 
 void
-GatewayPoll::DropLife(const std::string& aKey)
+GatewayPoll::OnLivenessDeleted(const std::string& aKey)
 {
-  gateways_.erase(aKey.substr(kLives.size()));
+  liveGateways_.erase(aKey.substr(kLivenessPrefix.size()));
 }
 
 std::set<std::string>
 GatewayPoll::Gateways() const
 {
   std::set<std::string> names;
-  for (const auto& [incarnation, life] : gateways_) {
+  for (const auto& [incarnation, liveness] : liveGateways_) {
     names.insert(incarnation);
   }
   return names;
 }
 
 void
-GatewayPoll::Ask()
+GatewayPoll::StartRound()
 {
   ++round_;
-  ahead_.clear();
+  clocksAhead_.clear();
   std::map<ZoneId, std::vector<std::string>> zones;
-  for (const auto& [incarnation, life] : gateways_) {
-    zones[life.zone_].push_back(life.address_);
+  for (const auto& [incarnation, liveness] : liveGateways_) {
+    zones[liveness.zone_].push_back(liveness.address_);
   }
   std::vector<std::vector<std::string>> groups;
   for (const auto& [zone, addresses] : zones) {
-    for (std::size_t at = 0; at < addresses.size(); at += kMostAsked) {
-      const std::size_t end = std::min(at + kMostAsked, addresses.size());
+    for (std::size_t at = 0; at < addresses.size(); at += kMaxGroupSize) {
+      const std::size_t end = std::min(at + kMaxGroupSize, addresses.size());
       std::vector<std::string> group(
         addresses.begin() + static_cast<std::ptrdiff_t>(at),
         addresses.begin() + static_cast<std::ptrdiff_t>(end));
@@ -117,18 +119,19 @@
       groups.push_back(std::move(group));
     }
   }
-  left_ = groups.size();
+  pendingReplies_ = groups.size();
   for (std::vector<std::string>& group : groups) {
-    AskSome(std::move(group), round_);
+    PollGroup(std::move(group), round_);
   }
-  timer_ = host_.Timers().After(kPollPause, [this] { Ask(); });
+  timer_ = host_.Timers().After(kPollInterval, [this] { StartRound(); });
   if (groups.empty()) {
-    EndRound();
+    FinishRound();
   }
 }
 
 void
-GatewayPoll::AskSome(std::vector<std::string> aAddresses, std::uint64_t aRound)
+GatewayPoll::PollGroup(std::vector<std::string> aAddresses,
+                       std::uint64_t aRound)
 {
   const std::string first = aAddresses.front();
   aAddresses.erase(aAddresses.begin());
@@ -136,58 +139,57 @@
   const Duration window = host_.Settings().usageWindow_;
   RpcCall call;
   call.topic_ = RpcTopic::Usage;
-  call.timeout_ = kAskTimeout;
+  call.timeout_ = kPollTimeout;
   call.body_ = EncodeUsageRequest(
     { now,
       window > Duration{ 0 } ? window : Duration{ std::chrono::seconds(5) },
       std::move(aAddresses) });
   host_.Peers().Call(
     first, std::move(call), [this, now, first, aRound](const RpcReply& aReply) {
-      OnAnswer(aReply, now, first, aRound);
+      OnReply(aReply, now, first, aRound);
     });
 }
 
 void
-GatewayPoll::OnAnswer(const RpcReply& aReply,
-                      TrueTime aAsked,
-                      const std::string& aAddress,
-                      std::uint64_t aRound)
+GatewayPoll::OnReply(const RpcReply& aReply,
+                     TrueTime aRequestedAt,
+                     const std::string& aAddress,
+                     std::uint64_t aRound)
 {
   if (aRound != round_ || !lease_.Active()) {
     return;
   }
-  const auto answers = aReply
-                         ? DecodeUsageReply(aReply.value())
-                         : Result<std::vector<GatewayUsage>>(aReply.error());
-  if (answers) {
-    for (const GatewayUsage& usage : answers.value()) {
-      ahead_.push_back(usage.clockAhead_);
+  const auto usages = aReply
+                        ? DecodeUsageReply(aReply.value())
+                        : Result<std::vector<GatewayUsage>>(aReply.error());
+  if (usages) {
+    for (const GatewayUsage& usage : usages.value()) {
+      clocksAhead_.push_back(usage.clockAhead_);
       if (onUsage_) {
-        onUsage_(usage, aAsked);
+        onUsage_(usage, aRequestedAt);
       }
     }
   } else {
-    LogEvent(
-      LogLevel::Info,
-      "gateways_not_polled",
-      { { "through", aAddress }, { "error", answers.error().message_ } });
+    LogEvent(LogLevel::Info,
+             "gateways_not_polled",
+             { { "through", aAddress }, { "error", usages.error().message_ } });
   }
-  if (--left_ == 0) {
-    EndRound();
+  if (--pendingReplies_ == 0) {
+    FinishRound();
   }
 }
 
 /// Clocks of most instances are close to the true time, and any may jump.
 void
-GatewayPoll::EndRound()
+GatewayPoll::FinishRound()
 {
-  const Duration step = MedianClockAhead(ahead_);
-  if (!ahead_.empty()) {
-    if (std::chrono::abs(step) > Duration{ kSmallStep }) {
+  const Duration step = MedianClockAhead(clocksAhead_);
+  if (!clocksAhead_.empty()) {
+    if (std::chrono::abs(step) > Duration{ kMinClockCorrection }) {
       LogEvent(LogLevel::Info,
                "time_corrected",
                { { "by_us", std::to_string(step.count()) },
-                 { "clocks", std::to_string(ahead_.size()) } });
+                 { "clocks", std::to_string(clocksAhead_.size()) } });
       offset_ += step;
     }
     calibrated_ = true;
--- a/src/programs/orderd/gateway_poll.hpp
+++ b/src/programs/orderd/gateway_poll.hpp
@@ -19,7 +19,7 @@
 
   /// Set before the lease is held. Told what one gateway said when it was asked
   /// at that time.
-  std::function<void(const GatewayUsage&, TrueTime aAsked)> onUsage_;
+  std::function<void(const GatewayUsage&, TrueTime aRequestedAt)> onUsage_;
   /// Told after each round.
   std::function<void()> onRound_;
 
@@ -35,26 +35,26 @@
 private:
   void Begin();
   void End();
-  void TakeLife(const StoreRecord& aRecord);
-  void DropLife(const std::string& aKey);
-  void Ask();
-  void AskSome(std::vector<std::string> aAddresses, std::uint64_t aRound);
-  void OnAnswer(const RpcReply& aReply,
-                TrueTime aAsked,
-                const std::string& aAddress,
-                std::uint64_t aRound);
-  void EndRound();
+  void OnLivenessRecord(const StoreRecord& aRecord);
+  void OnLivenessDeleted(const std::string& aKey);
+  void StartRound();
+  void PollGroup(std::vector<std::string> aAddresses, std::uint64_t aRound);
+  void OnReply(const RpcReply& aReply,
+               TrueTime aRequestedAt,
+               const std::string& aAddress,
+               std::uint64_t aRound);
+  void FinishRound();
 
   GatewayContext& host_;
   DutyLease& lease_;
-  std::unique_ptr<PrefixFollower> lives_;
-  std::map<std::string, LivenessRecord> gateways_;
+  std::unique_ptr<PrefixFollower> livenessRecords_;
+  std::map<std::string, LivenessRecord> liveGateways_;
   /// From this process's monotonic clock to the true time.
   Duration offset_{ 0 };
   bool calibrated_ = false;
   std::uint64_t round_ = 0;
-  std::size_t left_ = 0;
-  std::vector<Duration> ahead_;
+  std::size_t pendingReplies_ = 0;
+  std::vector<Duration> clocksAhead_;
   LoopTimerId timer_ = 0;
 };
 
--- a/src/programs/orderd/main.cpp
+++ b/src/programs/orderd/main.cpp
@@ -43,13 +43,13 @@
   GatewayPoll poll(host.Context(), lease);
   UsageDuty usage(host.Context(), lease, poll);
   SupplyDuty supply(host.Context(), lease, orders);
-  poll.onUsage_ = [&](const GatewayUsage& aUsage, TrueTime aAsked) {
-    usage.OnUsage(aUsage, aAsked);
+  poll.onUsage_ = [&](const GatewayUsage& aUsage, TrueTime aRequestedAt) {
+    usage.OnUsage(aUsage, aRequestedAt);
     orders.OnUsage(aUsage);
     supply.OnUsage(aUsage);
   };
   poll.onRound_ = [&] {
-    orders.OnRound();
+    orders.OnPollRound();
     usage.Advance();
     supply.Advance();
   };
--- a/src/programs/orderd/order_duty.cpp
+++ b/src/programs/orderd/order_duty.cpp
@@ -12,7 +12,7 @@
 /// The configuration tells which kind of order is better and which services
 /// there are; a service that is missing is looked up at once. A watch would
 /// cost seven times the calls.
-constexpr auto kConfigPause = std::chrono::seconds(10);
+constexpr auto kConfigReadInterval = std::chrono::seconds(10);
 
 } // namespace
 
@@ -21,11 +21,11 @@
   , lease_(aLease)
   , reader_(aHost.Formats())
 {
-  lease_.Add({ [this] { Follow(); }, [this] { OnLost(); } });
+  lease_.Add({ [this] { Begin(); }, [this] { End(); } });
 }
 
 void
-OrderDuty::OnLost()
+OrderDuty::End()
 {
   host_.Timers().Cancel(std::exchange(planTimer_, 0));
   upstreams_.reset();
@@ -33,12 +33,12 @@
   retirements_.reset();
   targets_.clear();
   longRuns_.clear();
-  longRunsTold_.clear();
-  placesTold_.clear();
+  reportedLongRuns_.clear();
+  reportedDemand_.clear();
 }
 
 void
-OrderDuty::Follow()
+OrderDuty::Begin()
 {
   // What was read in an earlier turn may have changed since.
   services_.reset();
@@ -47,30 +47,30 @@
   ReadConfig(++term_);
   const StorePlaces& places = host_.Formats().Places();
   const auto follow = [this](const std::string& aPrefix,
-                             void (OrderDuty::*aTake)(const StoreRecord&)) {
+                             void (OrderDuty::*aHandler)(const StoreRecord&)) {
     auto follower = std::make_unique<PrefixFollower>(
       host_.PlatformStore(), host_.Timers(), aPrefix);
-    follower->onAll_ = [this, aTake](const StoreRange& aRange) {
+    follower->onAll_ = [this, aHandler](const StoreRange& aRange) {
       for (const StoreRecord& record : aRange.records_) {
-        (this->*aTake)(record);
+        (this->*aHandler)(record);
       }
     };
-    follower->onChange_ = [this, aTake](const StoreEvent& aEvent) {
+    follower->onChange_ = [this, aHandler](const StoreEvent& aEvent) {
       if (!aEvent.deleted_) {
-        (this->*aTake)(aEvent.record_);
+        (this->*aHandler)(aEvent.record_);
       } else {
-        DropUpstream(host_.Formats().UpstreamOf(aEvent.record_.key_));
+        RemoveUpstream(host_.Formats().UpstreamOf(aEvent.record_.key_));
       }
     };
     follower->onSettled_ = [this] { Plan(); };
     return follower;
   };
-  upstreams_ = follow(places.upstreams_, &OrderDuty::TakeUpstream);
+  upstreams_ = follow(places.upstreams_, &OrderDuty::OnUpstreamRecord);
   upstreams_->onAll_ = [this](const StoreRange& aRange) {
-    TakeUpstreams(aRange);
+    OnUpstreamsRead(aRange);
   };
-  versions_ = follow(places.versions_, &OrderDuty::TakeVersion);
-  retirements_ = follow(places.retirements_, &OrderDuty::TakeRetirement);
+  versions_ = follow(places.versions_, &OrderDuty::OnVersionRecord);
+  retirements_ = follow(places.retirements_, &OrderDuty::OnRetirementRecord);
   upstreams_->Start();
   versions_->Start();
   retirements_->Start();
@@ -86,7 +86,7 @@
         return;
       }
       if (aRange) {
-        TakeConfig(aRange.value());
+        ApplyConfig(aRange.value());
       } else {
         LogEvent(LogLevel::Warn,
                  "config_not_read",
@@ -98,7 +98,7 @@
       // As long as none is known, orders wait for it.
       const bool known = aRange && services_;
       const auto pause =
-        known ? Duration{ kConfigPause } : Duration{ kRestTime };
+        known ? Duration{ kConfigReadInterval } : Duration{ kOrderRetryPause };
       host_.Timers().After(pause, [this, aTerm] {
         if (lease_.Active() && term_ == aTerm) {
           ReadConfig(aTerm);
@@ -108,7 +108,7 @@
 }
 
 void
-OrderDuty::TakeConfig(const StoreRange& aRange)
+OrderDuty::ApplyConfig(const StoreRange& aRange)
 {
   for (const StoreRecord& record : aRange.records_) {
     if (record.key_ != host_.Formats().Places().config_) {
@@ -138,18 +138,18 @@
 OrderDuty::OnUsage(const GatewayUsage& aUsage)
 {
   for (const auto& [upstream, runs] : aUsage.longRuns_) {
-    longRunsTold_[upstream] += runs;
+    reportedLongRuns_[upstream] += runs;
   }
   for (const auto& [model, places] : aUsage.modelDemand_) {
-    placesTold_[model] += places;
+    reportedDemand_[model] += places;
   }
 }
 
 void
-OrderDuty::OnRound()
+OrderDuty::OnPollRound()
 {
-  longRuns_ = std::exchange(longRunsTold_, {});
-  for (const auto& [model, places] : std::exchange(placesTold_, {})) {
+  longRuns_ = std::exchange(reportedLongRuns_, {});
+  for (const auto& [model, places] : std::exchange(reportedDemand_, {})) {
     if (places > 0) {
       plan_.OnDemand(model, places, host_.Now());
     }
@@ -186,12 +186,12 @@
 /// What left while no watch was open is told of only by being missing here; it
 /// would stay a home of its models that no order reaches.
 void
-OrderDuty::TakeUpstreams(const StoreRange& aRange)
+OrderDuty::OnUpstreamsRead(const StoreRange& aRange)
 {
   std::set<UpstreamId> listed;
   for (const StoreRecord& record : aRange.records_) {
     listed.insert(host_.Formats().UpstreamOf(record.key_));
-    TakeUpstream(record);
+    OnUpstreamRecord(record);
   }
   const std::size_t gone = std::erase_if(targets_, [&](const auto& aTarget) {
     return !listed.contains(aTarget.first);
@@ -200,13 +200,13 @@
 }
 
 void
-OrderDuty::DropUpstream(const UpstreamId& aId)
+OrderDuty::RemoveUpstream(const UpstreamId& aId)
 {
   planDue_ = targets_.erase(aId) > 0 || planDue_;
 }
 
 void
-OrderDuty::TakeUpstream(const StoreRecord& aRecord)
+OrderDuty::OnUpstreamRecord(const StoreRecord& aRecord)
 {
   auto entry = reader_.Read(aRecord);
   const UpstreamId id = host_.Formats().UpstreamOf(aRecord.key_);
@@ -216,21 +216,21 @@
     return;
   }
   if (!entry || entry->draining_) {
-    DropUpstream(id);
+    RemoveUpstream(id);
     return;
   }
   const bool added = known == targets_.end();
   Target& target = targets_[id];
-  const bool restarted = !added && StartOver(target, entry->start_);
+  const bool restarted = !added && ResetIfRestarted(target, entry->start_);
   const bool moved = target.entry_.service_ != entry->service_ ||
                      target.entry_.zone_ != entry->zone_;
-  const bool newer = TakeModels(target, entry->models_);
+  const bool newer = MergeModels(target, entry->models_);
   planDue_ = planDue_ || added || restarted || moved || newer;
   target.entry_ = std::move(*entry);
 }
 
 bool
-OrderDuty::StartOver(Target& aTarget, UpstreamStart aStart)
+OrderDuty::ResetIfRestarted(Target& aTarget, UpstreamStart aStart)
 {
   if (aStart <= aTarget.entry_.start_) {
     return false;
@@ -250,7 +250,8 @@
 }
 
 bool
-OrderDuty::TakeModels(Target& aTarget, const std::vector<ModelVersion>& aModels)
+OrderDuty::MergeModels(Target& aTarget,
+                       const std::vector<ModelVersion>& aModels)
 {
   bool newer = false;
   for (const ModelVersion& model : aModels) {
@@ -263,26 +264,27 @@
 }
 
 void
-OrderDuty::TakeVersion(const StoreRecord& aRecord)
+OrderDuty::OnVersionRecord(const StoreRecord& aRecord)
 {
-  const auto named = host_.Formats().ReadVersion(aRecord.value_);
-  if (!named) {
-    LogEvent(LogLevel::Error,
-             "version_unreadable",
-             { { "key", aRecord.key_ }, { "error", named.error().message_ } });
+  const auto announced = host_.Formats().ReadVersion(aRecord.value_);
+  if (!announced) {
+    LogEvent(
+      LogLevel::Error,
+      "version_unreadable",
+      { { "key", aRecord.key_ }, { "error", announced.error().message_ } });
     return;
   }
   LogEvent(LogLevel::Info,
            "version_named",
-           { { "model", named.value().model_ },
-             { "version", std::to_string(named.value().version_.Get()) } });
+           { { "model", announced.value().model_ },
+             { "version", std::to_string(announced.value().version_.Get()) } });
   plan_.OnVersionAnnounced(
-    named.value().model_, named.value().version_, host_.Now());
+    announced.value().model_, announced.value().version_, host_.Now());
   planDue_ = true;
 }
 
 void
-OrderDuty::TakeRetirement(const StoreRecord& aRecord)
+OrderDuty::OnRetirementRecord(const StoreRecord& aRecord)
 {
   const std::string& prefix = host_.Formats().Places().retirements_;
   const std::string instance = aRecord.key_.substr(prefix.size());
@@ -302,8 +304,8 @@
     std::move(txn), [this, aRecord, instance](const Result<StoreCommit>& aEnd) {
       if (!aEnd) {
         retired_.erase(instance);
-        host_.Timers().After(kRestTime,
-                             [this, aRecord] { TakeRetirement(aRecord); });
+        host_.Timers().After(kOrderRetryPause,
+                             [this, aRecord] { OnRetirementRecord(aRecord); });
       }
     });
 }
--- a/src/programs/orderd/order_duty.hpp
+++ b/src/programs/orderd/order_duty.hpp
@@ -14,10 +14,10 @@
 namespace marjoramtally {
 
 /// Pause after a failure; longer than reports lag.
-inline constexpr auto kRestTime = std::chrono::milliseconds(500);
+inline constexpr auto kOrderRetryPause = std::chrono::milliseconds(500);
 /// Most of the process's time that plans may take; the rest is for reports,
 /// orders and the lease.
-inline constexpr double kPlanShare = 0.125;
+inline constexpr double kMaxPlanTimeShare = 0.125;
 
 /// Acts while the lease is held. Used on one loop.
 class OrderDuty
@@ -29,7 +29,7 @@
   /// Takes what a gateway told of its long runs and of the places it wants.
   void OnUsage(const GatewayUsage& aUsage);
   /// A round of questions to gateways is over.
-  void OnRound();
+  void OnPollRound();
   /// @returns the services whose upstreams may be ordered, with those that
   /// serve; nothing before configuration and upstreams are known
   [[nodiscard]] std::vector<SupplyView> SupplyViews() const;
@@ -44,7 +44,7 @@
     /// Accepted; its end is looked for in reports.
     Loading,
     /// Something failed; it is tried again after a pause.
-    Resting,
+    BackingOff,
   };
 
   struct Target
@@ -52,12 +52,12 @@
     UpstreamEntry entry_;
     std::map<std::string, WeightVersion> versions_;
     /// Orders that the upstream has accepted, if known for certain.
-    std::optional<std::uint64_t> orders_;
+    std::optional<std::uint64_t> acceptedOrders_;
     Phase phase_ = Phase::Idle;
     PlannedLoad load_;
-    TimePoint since_;
+    TimePoint loadStartedAt_;
     /// When the order was accepted.
-    TimePoint accepted_;
+    TimePoint acceptedAt_;
     /// Answers to earlier steps are ignored.
     std::uint64_t step_ = 0;
   };
@@ -65,52 +65,54 @@
   /// Takes up an upstream's incarnation if it is newer than the one known:
   /// the versions, orders and steps of that one are over.
   /// @returns whether it is newer
-  static bool StartOver(Target& aTarget, UpstreamStart aStart);
+  static bool ResetIfRestarted(Target& aTarget, UpstreamStart aStart);
   /// @returns whether a version is newer than the one known
-  static bool TakeModels(Target& aTarget,
-                         const std::vector<ModelVersion>& aModels);
-  void OnLost();
-  void Follow();
+  static bool MergeModels(Target& aTarget,
+                          const std::vector<ModelVersion>& aModels);
+  void End();
+  void Begin();
   /// Reads which services there are and which models' texts must come from one
   /// version, now and again.
   void ReadConfig(std::uint64_t aTerm);
-  void TakeConfig(const StoreRange& aRange);
+  void ApplyConfig(const StoreRange& aRange);
   /// @returns whether the configuration is known and names the service
-  [[nodiscard]] bool Named(const ServiceId& aService) const
+  [[nodiscard]] bool IsConfigured(const ServiceId& aService) const
   {
     return services_ && services_->contains(aService);
   }
-  void DropUpstream(const UpstreamId& aId);
+  void RemoveUpstream(const UpstreamId& aId);
   /// Takes a whole reading.
-  void TakeUpstreams(const StoreRange& aRange);
-  void TakeUpstream(const StoreRecord& aRecord);
-  void TakeVersion(const StoreRecord& aRecord);
-  void TakeRetirement(const StoreRecord& aRecord);
+  void OnUpstreamsRead(const StoreRange& aRange);
+  void OnUpstreamRecord(const StoreRecord& aRecord);
+  void OnVersionRecord(const StoreRecord& aRecord);
+  void OnRetirementRecord(const StoreRecord& aRecord);
   // The steps of an order: state read, order sent, its end looked for.
-  void LookUpServices();
+  void ReadConfigForUnknownServices();
   /// Plans if anything that a plan is made of has changed since the last one.
   /// Upstreams beat in their entries once a second each, and few beats change
   /// what they hold.
   void Plan();
   /// Something that a plan is made of has changed.
   void Replan();
-  void PlanLater(Duration aPause);
-  void TellPlanTime(std::size_t aUpstreams, std::size_t aLoads, Duration aTook);
-  void Begin(const PlannedLoad& aLoad);
+  void SchedulePlan(Duration aPause);
+  void RecordPlanTime(std::size_t aUpstreams,
+                      std::size_t aLoads,
+                      Duration aTook);
+  void StartLoad(const PlannedLoad& aLoad);
   void ReadState(Target& aTarget);
   void OnState(const UpstreamId& aId, const HttpResult& aResult);
   void SendOrder(Target& aTarget);
-  void OnOrderAnswer(const UpstreamId& aId, const HttpResult& aResult);
-  void LookAgain(Target& aTarget, Duration aPause);
-  void Rest(Target& aTarget, std::string_view aWhy);
+  void OnOrderReply(const UpstreamId& aId, const HttpResult& aResult);
+  void ScheduleReport(Target& aTarget, Duration aPause);
+  void BackOff(Target& aTarget, std::string_view aReason);
   /// Runs a step later unless the target has moved on.
-  void Later(Target& aTarget,
-             Duration aPause,
-             void (OrderDuty::*aStep)(Target&));
-  void WakeUp(Target& aTarget);
-  HttpDone Answer(Target& aTarget,
-                  void (OrderDuty::*aTake)(const UpstreamId&,
-                                           const HttpResult&));
+  void ScheduleStep(Target& aTarget,
+                    Duration aPause,
+                    void (OrderDuty::*aStep)(Target&));
+  void EndBackOff(Target& aTarget);
+  HttpDone MakeReplyHandler(Target& aTarget,
+                            void (OrderDuty::*aHandler)(const UpstreamId&,
+                                                        const HttpResult&));
 
   GatewayContext& host_;
   DutyLease& lease_;
@@ -127,17 +129,17 @@
   std::map<ServiceId, UpstreamSupply> supplies_;
   /// Long runs at upstreams: as told in the last round, and so far in this one.
   std::map<UpstreamId, std::uint32_t> longRuns_;
-  std::map<UpstreamId, std::uint32_t> longRunsTold_;
+  std::map<UpstreamId, std::uint32_t> reportedLongRuns_;
   /// Places that items want, by model, as told in this round so far.
-  std::map<std::string, std::uint64_t> placesTold_;
+  std::map<std::string, std::uint64_t> reportedDemand_;
   /// Services of upstreams for which it was read once more.
-  std::set<ServiceId> unnamed_;
+  std::set<ServiceId> lookedUpServices_;
   /// Counts the times that the duty began.
   std::uint64_t term_ = 0;
   std::map<UpstreamId, Target> targets_;
   /// What a plan is made of has changed since the last one.
   bool planDue_ = true;
-  TimeShareLimiter planLimiter_{ kPlanShare };
+  TimeShareLimiter planLimiter_{ kMaxPlanTimeShare };
   LoopTimerId planTimer_ = 0;
   std::set<std::string> retired_;
 };
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -13,29 +13,31 @@
 /// still carry it out.
 constexpr auto kOrderTimeout = std::chrono::milliseconds(500);
 /// A load takes about 0.9 s; reports lag by some hundred milliseconds.
-constexpr auto kFirstLook = std::chrono::milliseconds(1050);
-constexpr auto kNextLook = std::chrono::milliseconds(100);
+constexpr auto kFirstCheckDelay = std::chrono::milliseconds(1050);
+constexpr auto kMinCheckInterval = std::chrono::milliseconds(100);
 /// Pauses are this part of the time that the load has taken, up to the longest.
-constexpr int kLookShare = 10;
-constexpr auto kLongestLook = std::chrono::seconds(1);
+constexpr int kCheckIntervalDivisor = 10;
+constexpr auto kMaxCheckInterval = std::chrono::seconds(1);
 /// An order that is under way no more and has changed nothing was lost. Reports
 /// lag, so this is believed after this time only.
-constexpr auto kLongestLoad = std::chrono::seconds(5);
+constexpr auto kLostLoadTimeout = std::chrono::seconds(5);
 /// A plan that takes this part of the lease is told of: renewals are due three
 /// times in one lease.
-constexpr int kSlowPlanShare = 10;
+constexpr int kSlowPlanLeaseDivisor = 10;
 
 } // namespace
 
 /// A service that the configuration does not name may have been added since it
 /// was read; so it is read once more for each such name.
 void
-OrderDuty::LookUpServices()
+OrderDuty::ReadConfigForUnknownServices()
 {
   bool read = false;
   for (const auto& [id, target] : targets_) {
     const ServiceId& service = target.entry_.service_;
-    read = (!Named(service) && unnamed_.insert(service).second) || read;
+    read =
+      (!IsConfigured(service) && lookedUpServices_.insert(service).second) ||
+      read;
   }
   if (read) {
     ReadConfig(++term_);
@@ -52,19 +54,19 @@
   }
   if (!lease_.Held()) {
     // Nothing tells of a renewal.
-    PlanLater(kRestTime);
+    SchedulePlan(kOrderRetryPause);
     return;
   }
   const TimePoint begun = host_.Now();
   if (begun < planLimiter_.NextAt()) {
-    PlanLater(planLimiter_.NextAt() - begun);
+    SchedulePlan(planLimiter_.NextAt() - begun);
     return;
   }
   planDue_ = false;
-  LookUpServices();
+  ReadConfigForUnknownServices();
   std::vector<PlanUpstream> upstreams;
   for (const auto& [id, target] : targets_) {
-    if (!target.versions_.empty() && Named(target.entry_.service_)) {
+    if (!target.versions_.empty() && IsConfigured(target.entry_.service_)) {
       const auto runs = longRuns_.find(id);
       upstreams.push_back({ id,
                             target.entry_.service_,
@@ -78,24 +80,24 @@
   const std::vector<PlannedLoad> loads = plan_.Next(upstreams);
   const TimePoint ended = host_.Now();
   planLimiter_.OnDone(begun, ended);
-  TellPlanTime(upstreams.size(), loads.size(), ended - begun);
+  RecordPlanTime(upstreams.size(), loads.size(), ended - begun);
   plan_.OnOrdered(ended);
   host_.Measures().Set("loads_at_once", plan_.ConcurrentLoadLimit());
   host_.Measures().Set("loads_in_progress", plan_.LoadsInProgress());
   for (const PlannedLoad& load : loads) {
-    Begin(load);
+    StartLoad(load);
   }
 }
 
 /// Nothing else runs while a plan is made, no renewal of the lease either.
 void
-OrderDuty::TellPlanTime(std::size_t aUpstreams,
-                        std::size_t aLoads,
-                        Duration aTook)
+OrderDuty::RecordPlanTime(std::size_t aUpstreams,
+                          std::size_t aLoads,
+                          Duration aTook)
 {
   host_.Measures().Observe("order_plan_seconds",
                            std::chrono::duration<double>(aTook).count());
-  if (aTook > host_.Settings().leaseTtl_ / kSlowPlanShare) {
+  if (aTook > host_.Settings().leaseTtl_ / kSlowPlanLeaseDivisor) {
     LogEvent(LogLevel::Warn,
              "plan_slow",
              { { "upstreams", std::to_string(aUpstreams) },
@@ -106,7 +108,7 @@
 }
 
 void
-OrderDuty::PlanLater(Duration aPause)
+OrderDuty::SchedulePlan(Duration aPause)
 {
   if (planTimer_ != 0) {
     return;
@@ -125,12 +127,12 @@
 }
 
 void
-OrderDuty::Begin(const PlannedLoad& aLoad)
+OrderDuty::StartLoad(const PlannedLoad& aLoad)
 {
   Target& target = targets_.at(aLoad.upstream_);
   target.load_ = aLoad;
-  target.since_ = host_.Now();
-  if (target.orders_) {
+  target.loadStartedAt_ = host_.Now();
+  if (target.acceptedOrders_) {
     SendOrder(target);
   } else {
     ReadState(target);
@@ -138,24 +140,24 @@
 }
 
 HttpDone
-OrderDuty::Answer(Target& aTarget,
-                  void (OrderDuty::*aTake)(const UpstreamId&,
-                                           const HttpResult&))
+OrderDuty::MakeReplyHandler(Target& aTarget,
+                            void (OrderDuty::*aHandler)(const UpstreamId&,
+                                                        const HttpResult&))
 {
   const UpstreamId id = aTarget.entry_.id_;
   const std::uint64_t step = ++aTarget.step_;
-  return [this, id, step, aTake](const HttpResult& aResult) {
+  return [this, id, step, aHandler](const HttpResult& aResult) {
     const auto it = targets_.find(id);
     if (lease_.Active() && it != targets_.end() && it->second.step_ == step) {
-      (this->*aTake)(id, aResult);
+      (this->*aHandler)(id, aResult);
     }
   };
 }
 
 void
-OrderDuty::Later(Target& aTarget,
-                 Duration aPause,
-                 void (OrderDuty::*aStep)(Target&))
+OrderDuty::ScheduleStep(Target& aTarget,
+                        Duration aPause,
+                        void (OrderDuty::*aStep)(Target&))
 {
   const UpstreamId id = aTarget.entry_.id_;
   const std::uint64_t step = ++aTarget.step_;
@@ -176,7 +178,8 @@
   HttpCall call = host_.Formats().MakeReportCall(aTarget.entry_);
   call.timeout_ = kOrderTimeout;
   call.connectTimeout_ = kUpstreamConnectTimeout;
-  host_.Client().Send(std::move(call), Answer(aTarget, &OrderDuty::OnState));
+  host_.Client().Send(std::move(call),
+                      MakeReplyHandler(aTarget, &OrderDuty::OnState));
 }
 
 void
@@ -184,17 +187,18 @@
 {
   Target& target = targets_.at(aId);
   if (aResult.end_ != HttpEnd::Whole || aResult.response_.status_ != 200) {
-    Rest(target, "no report");
+    BackOff(target, "no report");
     return;
   }
   const auto report = host_.Formats().ReadReport(aResult.response_.body_);
   if (!report) {
-    Rest(target, report.error().message_);
+    BackOff(target, report.error().message_);
     return;
   }
   const bool startKnown = target.entry_.start_ != UpstreamStart{};
-  const bool restarted = startKnown && StartOver(target, report.value().start_);
-  planDue_ = TakeModels(target, report.value().models_) || planDue_;
+  const bool restarted =
+    startKnown && ResetIfRestarted(target, report.value().start_);
+  planDue_ = MergeModels(target, report.value().models_) || planDue_;
   if (restarted) {
     Replan();
     return;
@@ -204,8 +208,8 @@
   if (target.phase_ == Phase::Loading) {
     // One that goes on keeps its place: the store of weights is busy with it,
     // and an order in its stead would only come on top.
-    const bool lost =
-      !report.value().busy_ && host_.Now() - target.since_ > kLongestLoad;
+    const bool lost = !report.value().busy_ &&
+                      host_.Now() - target.loadStartedAt_ > kLostLoadTimeout;
     if (reached || lost) {
       LogEvent(
         LogLevel::Info,
@@ -214,31 +218,32 @@
           { "model", target.load_.model_ },
           { "version", std::to_string(target.load_.version_.Get()) },
           { "took_ms",
-            std::to_string(WholeMillis(host_.Now() - target.accepted_)) },
+            std::to_string(WholeMillis(host_.Now() - target.acceptedAt_)) },
           { "in_progress", std::to_string(plan_.LoadsInProgress()) },
           { "at_once", std::to_string(plan_.ConcurrentLoadLimit()) },
           { "outcome", reached ? "loaded" : "lost" } });
       target.phase_ = Phase::Idle;
       if (reached) {
-        plan_.OnLoaded(host_.Now() - target.accepted_, host_.Now());
+        plan_.OnLoaded(host_.Now() - target.acceptedAt_, host_.Now());
       } else {
-        target.orders_.reset();
+        target.acceptedOrders_.reset();
       }
       Replan();
     } else {
-      const Duration taken = host_.Now() - target.accepted_;
-      LookAgain(
-        target,
-        std::clamp<Duration>(taken / kLookShare, kNextLook, kLongestLook));
+      const Duration elapsed = host_.Now() - target.acceptedAt_;
+      ScheduleReport(target,
+                     std::clamp<Duration>(elapsed / kCheckIntervalDivisor,
+                                          kMinCheckInterval,
+                                          kMaxCheckInterval));
     }
     return;
   }
-  target.orders_ = report.value().orders_;
+  target.acceptedOrders_ = report.value().orders_;
   if (reached) {
     target.phase_ = Phase::Idle;
     Replan();
   } else if (report.value().busy_) {
-    Rest(target, "another order is under way");
+    BackOff(target, "another order is under way");
   } else {
     SendOrder(target);
   }
@@ -254,9 +259,9 @@
   }
   aTarget.phase_ = Phase::Sending;
   const VersionOrder order{
-    aTarget.load_.model_, aTarget.load_.version_,
-    host_.Incarnation(),  lease_.Fence(),
-    aTarget.orders_,      singleVersion_.contains(aTarget.load_.model_)
+    aTarget.load_.model_,    aTarget.load_.version_,
+    host_.Incarnation(),     lease_.Fence(),
+    aTarget.acceptedOrders_, singleVersion_.contains(aTarget.load_.model_)
   };
   LogEvent(
     LogLevel::Info,
@@ -270,13 +275,13 @@
   HttpCall call = host_.Formats().MakeOrder(aTarget.entry_, order);
   call.timeout_ = kOrderTimeout;
   call.connectTimeout_ = kUpstreamConnectTimeout;
-  lease_.OnCalled();
+  lease_.OnCallSent();
   host_.Client().Send(std::move(call),
-                      Answer(aTarget, &OrderDuty::OnOrderAnswer));
+                      MakeReplyHandler(aTarget, &OrderDuty::OnOrderReply));
 }
 
 void
-OrderDuty::OnOrderAnswer(const UpstreamId& aId, const HttpResult& aResult)
+OrderDuty::OnOrderReply(const UpstreamId& aId, const HttpResult& aResult)
 {
   Target& target = targets_.at(aId);
   const int status =
@@ -288,16 +293,16 @@
              { "error", aResult.message_ } });
   switch (status) {
     case 202:
-      ++*target.orders_;
-      target.accepted_ = host_.Now();
+      ++*target.acceptedOrders_;
+      target.acceptedAt_ = host_.Now();
       target.phase_ = Phase::Loading;
-      LookAgain(target, kFirstLook);
+      ScheduleReport(target, kFirstCheckDelay);
       return;
     case 200:
       // No id tells whether this is the order's own answer or a late second
       // one to the report before; believed, it would end all orders of this
       // version to an upstream that lacks it. The next report tells.
-      Rest(target, "the order is said to hold already");
+      BackOff(target, "the order is said to hold already");
       return;
     case 412:
       // Another process has given orders under a higher number.
@@ -308,31 +313,31 @@
       Replan();
       return;
     default:
-      Rest(target, status == 0 ? "no answer" : "refused");
+      BackOff(target, status == 0 ? "no answer" : "refused");
       return;
   }
 }
 
 void
-OrderDuty::LookAgain(Target& aTarget, Duration aPause)
+OrderDuty::ScheduleReport(Target& aTarget, Duration aPause)
 {
-  Later(aTarget, aPause, &OrderDuty::ReadState);
+  ScheduleStep(aTarget, aPause, &OrderDuty::ReadState);
 }
 
 void
-OrderDuty::Rest(Target& aTarget, std::string_view aWhy)
+OrderDuty::BackOff(Target& aTarget, std::string_view aReason)
 {
-  LogEvent(
-    LogLevel::Info,
-    "order_put_off",
-    { { "upstream", aTarget.entry_.id_.Get() }, { "why", std::string(aWhy) } });
-  aTarget.phase_ = Phase::Resting;
-  aTarget.orders_.reset();
-  Later(aTarget, kRestTime, &OrderDuty::WakeUp);
+  LogEvent(LogLevel::Info,
+           "order_put_off",
+           { { "upstream", aTarget.entry_.id_.Get() },
+             { "why", std::string(aReason) } });
+  aTarget.phase_ = Phase::BackingOff;
+  aTarget.acceptedOrders_.reset();
+  ScheduleStep(aTarget, kOrderRetryPause, &OrderDuty::EndBackOff);
 }
 
 void
-OrderDuty::WakeUp(Target& aTarget)
+OrderDuty::EndBackOff(Target& aTarget)
 {
   aTarget.phase_ = Phase::Idle;
   Replan();
--- a/src/programs/orderd/supply_duty.cpp
+++ b/src/programs/orderd/supply_duty.cpp
@@ -9,24 +9,24 @@
 namespace {
 
 /// Followed by service, zone and kind, with a slash between them.
-constexpr std::string_view kOrdered = "mt/supply/";
-constexpr auto kAgain = std::chrono::milliseconds(700);
+constexpr std::string_view kOrderedPrefix = "mt/supply/";
+constexpr auto kStoreRetryPause = std::chrono::milliseconds(700);
 constexpr auto kOrderTimeout = std::chrono::milliseconds(1500);
 
 std::string
-KeyOf(const SupplyPool& aPlace)
+KeyOf(const SupplyPool& aPool)
 {
   return fmt::format("{}{}/{}/{}",
-                     kOrdered,
-                     aPlace.service_.Get(),
-                     aPlace.zone_.Get(),
-                     aPlace.spot_ ? "spot" : "firm");
+                     kOrderedPrefix,
+                     aPool.service_.Get(),
+                     aPool.zone_.Get(),
+                     aPool.spot_ ? "spot" : "firm");
 }
 
 std::optional<SupplyPool>
-PlaceOf(std::string_view aKey)
+PoolOf(std::string_view aKey)
 {
-  aKey.remove_prefix(kOrdered.size());
+  aKey.remove_prefix(kOrderedPrefix.size());
   const std::size_t kind = aKey.rfind('/');
   const std::size_t zone =
     kind == std::string_view::npos ? kind : aKey.rfind('/', kind - 1);
@@ -57,8 +57,8 @@
 SupplyDuty::Begin()
 {
   plan_ = SupplyPlan{};
-  wanted_.clear();
-  known_ = false;
+  reportedDemand_.clear();
+  restored_ = false;
   ReadOrdered(++term_);
 }
 
@@ -66,26 +66,27 @@
 SupplyDuty::End()
 {
   ++term_;
-  known_ = false;
+  restored_ = false;
 }
 
 void
 SupplyDuty::ReadOrdered(std::uint64_t aTerm)
 {
   host_.PlatformStore().Read(
-    std::string(kOrdered), [this, aTerm](const Result<StoreRange>& aRange) {
-      if (!Current(aTerm)) {
+    std::string(kOrderedPrefix),
+    [this, aTerm](const Result<StoreRange>& aRange) {
+      if (!IsCurrent(aTerm)) {
         return;
       }
       if (aRange) {
-        TakeOrdered(aRange.value());
+        OnOrderedRead(aRange.value());
         return;
       }
       LogEvent(LogLevel::Warn,
                "supply_not_read",
                { { "error", aRange.error().message_ } });
-      host_.Timers().After(kAgain, [this, aTerm] {
-        if (Current(aTerm)) {
+      host_.Timers().After(kStoreRetryPause, [this, aTerm] {
+        if (IsCurrent(aTerm)) {
           ReadOrdered(aTerm);
         }
       });
@@ -93,26 +94,26 @@
 }
 
 void
-SupplyDuty::TakeOrdered(const StoreRange& aRange)
+SupplyDuty::OnOrderedRead(const StoreRange& aRange)
 {
   for (const StoreRecord& record : aRange.records_) {
-    const auto place = PlaceOf(record.key_);
+    const auto pool = PoolOf(record.key_);
     const auto count = ParseNumber(record.value_, 0, UINT32_MAX);
-    if (place && count) {
-      plan_.OnRestored(*place, static_cast<std::uint32_t>(*count));
+    if (pool && count) {
+      plan_.OnRestored(*pool, static_cast<std::uint32_t>(*count));
     } else {
       LogEvent(
         LogLevel::Error, "record_unreadable", { { "key", record.key_ } });
     }
   }
-  known_ = true;
+  restored_ = true;
 }
 
 void
 SupplyDuty::OnUsage(const GatewayUsage& aUsage)
 {
   for (const auto& [service, places] : aUsage.demand_) {
-    wanted_[service] += places;
+    reportedDemand_[service] += places;
   }
 }
 
@@ -120,12 +121,12 @@
 SupplyDuty::Advance()
 {
   const TimePoint now = host_.Now();
-  for (const auto& [service, places] : std::exchange(wanted_, {})) {
+  for (const auto& [service, places] : std::exchange(reportedDemand_, {})) {
     if (places > 0) {
       plan_.OnDemand(service, places, now);
     }
   }
-  if (!known_ || !lease_.Held()) {
+  if (!restored_ || !lease_.Held()) {
     return;
   }
   for (const SupplyView& view : orders_.SupplyViews()) {
@@ -143,13 +144,13 @@
           { "wanted", std::to_string(plan_.Wanted(view, now)) },
           { "serving", std::to_string(view.serving_.at(order.pool_.zone_)) },
           { "why", std::string(order.reason_) } });
-      Note(order);
+      RecordOrder(order);
     }
   }
 }
 
 void
-SupplyDuty::Note(const PlannedSupply& aOrder)
+SupplyDuty::RecordOrder(const PlannedSupply& aOrder)
 {
   StoreTxn txn;
   txn.compares_.push_back(lease_.Compare());
@@ -158,11 +159,11 @@
   host_.PlatformStore().Commit(
     std::move(txn),
     [this, aOrder, term = term_](const Result<StoreCommit>& aEnd) {
-      if (!Current(term)) {
+      if (!IsCurrent(term)) {
         return;
       }
       if (aEnd && aEnd.value().applied_) {
-        Send(aOrder);
+        SendOrder(aOrder);
       } else {
         EndOrder(aOrder, SupplyEnd::Unavailable, "not noted in the store");
       }
@@ -170,7 +171,7 @@
 }
 
 void
-SupplyDuty::Send(const PlannedSupply& aOrder)
+SupplyDuty::SendOrder(const PlannedSupply& aOrder)
 {
   if (!lease_.Held()) {
     EndOrder(aOrder, SupplyEnd::Unavailable, "the lease is not certain");
@@ -184,17 +185,17 @@
                                                    aOrder.pool_.spot_ });
   call.timeout_ = kOrderTimeout;
   call.connectTimeout_ = kOrderTimeout;
-  lease_.OnCalled();
+  lease_.OnCallSent();
   host_.Client().Send(std::move(call),
                       [this, aOrder, term = term_](const HttpResult& aResult) {
-                        if (Current(term)) {
-                          OnAnswer(aOrder, aResult);
+                        if (IsCurrent(term)) {
+                          OnReply(aOrder, aResult);
                         }
                       });
 }
 
 void
-SupplyDuty::OnAnswer(const PlannedSupply& aOrder, const HttpResult& aResult)
+SupplyDuty::OnReply(const PlannedSupply& aOrder, const HttpResult& aResult)
 {
   const int status =
     aResult.end_ == HttpEnd::Whole ? aResult.response_.status_ : 0;
--- a/src/programs/orderd/supply_duty.hpp
+++ b/src/programs/orderd/supply_duty.hpp
@@ -25,15 +25,15 @@
   void Begin();
   void End();
   void ReadOrdered(std::uint64_t aTerm);
-  void TakeOrdered(const StoreRange& aRange);
+  void OnOrderedRead(const StoreRange& aRange);
   /// Notes an order in the store, then sends it.
-  void Note(const PlannedSupply& aOrder);
-  void Send(const PlannedSupply& aOrder);
-  void OnAnswer(const PlannedSupply& aOrder, const HttpResult& aResult);
+  void RecordOrder(const PlannedSupply& aOrder);
+  void SendOrder(const PlannedSupply& aOrder);
+  void OnReply(const PlannedSupply& aOrder, const HttpResult& aResult);
   void EndOrder(const PlannedSupply& aOrder,
                 SupplyEnd aEnd,
                 std::string_view aAnswer);
-  [[nodiscard]] bool Current(std::uint64_t aTerm) const noexcept
+  [[nodiscard]] bool IsCurrent(std::uint64_t aTerm) const noexcept
   {
     return term_ == aTerm && lease_.Active();
   }
@@ -43,9 +43,9 @@
   const OrderDuty& orders_;
   SupplyPlan plan_;
   /// Places wanted, summed over the answers of a round.
-  std::map<ServiceId, std::uint64_t> wanted_;
+  std::map<ServiceId, std::uint64_t> reportedDemand_;
   /// What earlier holders ordered is known.
-  bool known_ = false;
+  bool restored_ = false;
   std::uint64_t term_ = 0;
 };
 
--- a/src/programs/orderd/usage_duty.cpp
+++ b/src/programs/orderd/usage_duty.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr std::string_view kWindows = "mt/usage/";
-constexpr auto kAgain = std::chrono::milliseconds(700);
+constexpr std::string_view kWindowPrefix = "mt/usage/";
+constexpr auto kStoreRetryPause = std::chrono::milliseconds(700);
 /// A report that has no answer by then may still be carried out.
 constexpr auto kReportTimeout = std::chrono::milliseconds(1500);
 
 std::string
 KeyOf(UsageWindow aWindow)
 {
-  return fmt::format("{}{:012}", kWindows, aWindow);
+  return fmt::format("{}{:012}", kWindowPrefix, aWindow);
 }
 
 std::uint64_t
@@ -37,7 +37,7 @@
   : host_(aHost)
   , lease_(aLease)
   , poll_(aPoll)
-  , book_({ aHost.Settings().usageWindow_, aHost.Settings().usageLate_ })
+  , ledger_({ aHost.Settings().usageWindow_, aHost.Settings().usageLate_ })
 {
   if (host_.Settings().usageWindow_ > Duration{ 0 } &&
       !host_.Settings().dutyCalls_.empty()) {
@@ -48,7 +48,7 @@
 void
 UsageDuty::Begin()
 {
-  known_ = false;
+  restored_ = false;
   settling_ = false;
   sending_ = false;
   ReadSettled(++term_);
@@ -58,26 +58,27 @@
 UsageDuty::End()
 {
   ++term_;
-  known_ = false;
+  restored_ = false;
 }
 
 void
 UsageDuty::ReadSettled(std::uint64_t aTerm)
 {
   host_.PlatformStore().Read(
-    std::string(kWindows), [this, aTerm](const Result<StoreRange>& aRange) {
-      if (!Current(aTerm)) {
+    std::string(kWindowPrefix),
+    [this, aTerm](const Result<StoreRange>& aRange) {
+      if (!IsCurrent(aTerm)) {
         return;
       }
       if (aRange) {
-        TakeSettled(aRange.value());
+        OnSettledRead(aRange.value());
         return;
       }
       LogEvent(LogLevel::Warn,
                "usage_not_read",
                { { "error", aRange.error().message_ } });
-      host_.Timers().After(kAgain, [this, aTerm] {
-        if (Current(aTerm)) {
+      host_.Timers().After(kStoreRetryPause, [this, aTerm] {
+        if (IsCurrent(aTerm)) {
           ReadSettled(aTerm);
         }
       });
@@ -85,12 +86,12 @@
 }
 
 void
-UsageDuty::TakeSettled(const StoreRange& aRange)
+UsageDuty::OnSettledRead(const StoreRange& aRange)
 {
   std::map<UsageWindow, SettledWindow> settled;
   for (const StoreRecord& record : aRange.records_) {
     const auto window =
-      ParseNumber(record.key_.substr(kWindows.size()), 0, UINT64_MAX);
+      ParseNumber(record.key_.substr(kWindowPrefix.size()), 0, UINT64_MAX);
     auto read = ReadSettledWindow(record.value_);
     if (window && read) {
       settled.emplace(*window, std::move(read).value());
@@ -104,18 +105,18 @@
     }
   }
   if (settled.empty()) {
-    WriteBeginning();
+    WriteFirstWindow();
     return;
   }
-  known_ = true;
-  book_.Begin(std::move(settled), poll_.Now());
+  restored_ = true;
+  ledger_.Begin(std::move(settled), poll_.Now());
   Advance();
 }
 
 /// The window before the first one counts as sent. A holder that ended before
 /// it settled a window would else leave no trace of those it was to report.
 void
-UsageDuty::WriteBeginning()
+UsageDuty::WriteFirstWindow()
 {
   const UsageWindow before =
     WindowOf(poll_.Now(), host_.Settings().usageWindow_) - 1;
@@ -125,12 +126,13 @@
   txn.puts_.push_back({ KeyOf(before), WriteSettledWindow({ {}, true }), 0 });
   host_.PlatformStore().Commit(
     std::move(txn), [this, term = term_](const Result<StoreCommit>& aEnd) {
-      if (!Current(term)) {
+      if (!IsCurrent(term)) {
         return;
       }
-      const Duration pause = aEnd ? Duration{ 0 } : Duration{ kAgain };
+      const Duration pause =
+        aEnd ? Duration{ 0 } : Duration{ kStoreRetryPause };
       host_.Timers().After(pause, [this, term] {
-        if (Current(term)) {
+        if (IsCurrent(term)) {
           ReadSettled(term);
         }
       });
@@ -140,10 +142,10 @@
 void
 UsageDuty::Advance()
 {
-  if (!known_ || !lease_.Held()) {
+  if (!restored_ || !lease_.Held()) {
     return;
   }
-  const auto due = book_.NextDue(poll_.Now(), poll_.Gateways());
+  const auto due = ledger_.NextDue(poll_.Now(), poll_.Gateways());
   if (due && poll_.Calibrated() && !settling_) {
     Settle(*due);
   }
@@ -158,25 +160,25 @@
 UsageDuty::Settle(UsageWindow aWindow)
 {
   settling_ = true;
-  SettledWindow settled{ book_.CountsOf(aWindow), false };
+  SettledWindow settled{ ledger_.CountsOf(aWindow), false };
   StoreTxn txn;
   txn.compares_.push_back(lease_.Compare());
   txn.compares_.push_back({ KeyOf(aWindow), 0 });
   txn.puts_.push_back({ KeyOf(aWindow), WriteSettledWindow(settled), 0 });
-  const auto& before = book_.Settled();
+  const auto& before = ledger_.Settled();
   if (!before.empty() && before.rbegin()->second.sent_) {
     txn.puts_.push_back({ KeyOf(before.rbegin()->first),
                           WriteSettledWindow(before.rbegin()->second),
                           0 });
   }
-  for (const UsageWindow old : book_.TakeObsolete()) {
+  for (const UsageWindow old : ledger_.TakeObsolete()) {
     txn.deletes_.push_back(KeyOf(old));
   }
   host_.PlatformStore().Commit(
     std::move(txn),
     [this, aWindow, settled = std::move(settled), term = term_](
       const Result<StoreCommit>& aEnd) {
-      if (Current(term)) {
+      if (IsCurrent(term)) {
         OnSettled(aWindow, settled, aEnd);
       }
     });
@@ -207,7 +209,7 @@
                                    host_.Settings().usageWindow_ *
                                      static_cast<std::int64_t>(aWindow + 1))) },
       { "fence", std::to_string(lease_.Fence().Get()) } });
-  book_.OnSettled(aWindow, std::move(aSettled));
+  ledger_.OnSettled(aWindow, std::move(aSettled));
   Advance();
 }
 
@@ -217,7 +219,7 @@
   const std::string key = KeyOf(aWindow);
   host_.PlatformStore().Read(
     key, [this, key, aWindow, term = term_](const Result<StoreRange>& aRange) {
-      if (!Current(term)) {
+      if (!IsCurrent(term)) {
         return;
       }
       settling_ = false;
@@ -237,7 +239,7 @@
                  { { "key", key }, { "error", settled.error().message_ } });
         return;
       }
-      book_.OnSettled(aWindow, std::move(settled).value());
+      ledger_.OnSettled(aWindow, std::move(settled).value());
       Advance();
     });
 }
@@ -245,7 +247,7 @@
 void
 UsageDuty::SendNext()
 {
-  const auto window = book_.NextToSend();
+  const auto window = ledger_.NextToSend();
   if (!window || !lease_.Held()) {
     return;
   }
@@ -253,21 +255,21 @@
   HttpCall call = host_.Formats().MakeUsageCall(
     host_.Settings().dutyCalls_,
     lease_.Caller(),
-    { *window, book_.Settled().at(*window).counts_ });
+    { *window, ledger_.Settled().at(*window).counts_ });
   call.timeout_ = kReportTimeout;
   call.connectTimeout_ = kReportTimeout;
-  lease_.OnCalled();
+  lease_.OnCallSent();
   host_.Client().Send(
     std::move(call),
     [this, window = *window, term = term_](const HttpResult& aResult) {
-      if (Current(term)) {
-        OnSent(window, aResult);
+      if (IsCurrent(term)) {
+        OnReportReply(window, aResult);
       }
     });
 }
 
 void
-UsageDuty::OnSent(UsageWindow aWindow, const HttpResult& aResult)
+UsageDuty::OnReportReply(UsageWindow aWindow, const HttpResult& aResult)
 {
   sending_ = false;
   const bool answered = aResult.end_ == HttpEnd::Whole;
@@ -281,7 +283,7 @@
   if (status == 200) {
     host_.Measures().Count("usage_windows_sent_total");
     host_.Measures().Set("usage_last_sent", static_cast<double>(aWindow));
-    book_.OnSent(aWindow);
+    ledger_.OnSent(aWindow);
     SendNext();
   } else if (status == 409) {
     lease_.OnFenced();
--- a/src/programs/orderd/usage_duty.hpp
+++ b/src/programs/orderd/usage_duty.hpp
@@ -13,21 +13,21 @@
   /// All arguments outlive this.
   UsageDuty(GatewayContext& aHost, DutyLease& aLease, GatewayPoll& aPoll);
 
-  void OnUsage(const GatewayUsage& aUsage, TrueTime aAsked)
+  void OnUsage(const GatewayUsage& aUsage, TrueTime aRequestedAt)
   {
-    book_.OnUsage(aUsage, aAsked);
+    ledger_.OnUsage(aUsage, aRequestedAt);
   }
   /// Settles and sends what is due.
   void Advance();
-  [[nodiscard]] const UsageLedger& Book() const noexcept { return book_; }
+  [[nodiscard]] const UsageLedger& Ledger() const noexcept { return ledger_; }
 
 private:
   void Begin();
   void End();
   void ReadSettled(std::uint64_t aTerm);
-  void TakeSettled(const StoreRange& aRange);
+  void OnSettledRead(const StoreRange& aRange);
   /// Notes where the bill begins, so that a later holder begins there too.
-  void WriteBeginning();
+  void WriteFirstWindow();
   /// Makes a window's counts final.
   void Settle(UsageWindow aWindow);
   void OnSettled(UsageWindow aWindow,
@@ -36,8 +36,8 @@
   /// Finds out which counts of a window are final.
   void ReadBack(UsageWindow aWindow);
   void SendNext();
-  void OnSent(UsageWindow aWindow, const HttpResult& aResult);
-  [[nodiscard]] bool Current(std::uint64_t aTerm) const noexcept
+  void OnReportReply(UsageWindow aWindow, const HttpResult& aResult);
+  [[nodiscard]] bool IsCurrent(std::uint64_t aTerm) const noexcept
   {
     return term_ == aTerm && lease_.Active();
   }
@@ -45,11 +45,11 @@
   GatewayContext& host_;
   DutyLease& lease_;
   GatewayPoll& poll_;
-  UsageLedger book_;
+  UsageLedger ledger_;
   /// Counts the times that the duty began or ended.
   std::uint64_t term_ = 0;
   /// What earlier holders settled is known.
-  bool known_ = false;
+  bool restored_ = false;
   bool settling_ = false;
   bool sending_ = false;
 };
--- a/tests/order_fixture.hpp
+++ b/tests/order_fixture.hpp
@@ -6,12 +6,12 @@
 
 namespace marjoramtally::test {
 
-struct HeldOrders
+struct LeasedOrderDuty
 {
   DutyLease lease_;
   OrderDuty duty_;
 
-  explicit HeldOrders(GatewayContext& aHost)
+  explicit LeasedOrderDuty(GatewayContext& aHost)
     : lease_(aHost)
     , duty_(aHost, lease_)
   {
--- a/tests/test_order_duty.cpp
+++ b/tests/test_order_duty.cpp
@@ -27,7 +27,7 @@
     R"({"service":"lm","address":"e:1","zone":"z","slots":1,"state":"ready",
                    "models":[{"name":"m","version":1}]})");
   fakes.store_.Put("op/version/m", R"({"model":"m","version":2})");
-  HeldOrders duty(fakes.context_);
+  LeasedOrderDuty duty(fakes.context_);
   // Grant and write together take nearly all of the lease.
   fakes.store_.delay_ = 700ms;
   duty.Start();
@@ -53,7 +53,7 @@
                 R"("kind":"rollout","service":"lm","single_version":)") +
       (single ? "true" : "false") +
       R"(}],"services":[{"name":"lm","engine":{"models":[{"name":"m"}]}}]})");
-  HeldOrders duty(fakes.context_);
+  LeasedOrderDuty duty(fakes.context_);
   duty.Start();
   fakes.timers_.Advance(100ms);
   fakes.store_.Put("op/version/m", R"({"model":"m","version":2})");
@@ -73,7 +73,7 @@
 /// A holder of the duty with one upstream and a version that it lacks.
 struct DutyFixture : GatewayFakes
 {
-  HeldOrders duty_{ context_ };
+  LeasedOrderDuty duty_{ context_ };
 
   DutyFixture()
   {
@@ -102,7 +102,7 @@
     return client_.open_.empty() ? "" : client_.Oldest().call_.url_;
   }
 
-  void Report(std::uint64_t aStart, int aOrders, bool aBusy = false)
+  void AnswerReport(std::uint64_t aStart, int aOrders, bool aBusy = false)
   {
     REQUIRE(OldestPath() == "http://e:1/report");
     client_.Answer(client_.Oldest(),
@@ -129,22 +129,22 @@
 TEST_CASE("an upstream that starts again is ordered anew by its own count")
 {
   DutyFixture fix;
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
   // It starts again while the order is under way; its entry tells so.
   fix.Register(2000);
-  fix.Report(2000, 0);
+  fix.AnswerReport(2000, 0);
   fix.AcceptOrder("0");
 }
 
 TEST_CASE("a report tells of a restart before the entry does")
 {
   DutyFixture fix;
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
   fix.timers_.Advance(1100ms);
-  fix.Report(2000, 0);
-  fix.Report(2000, 0);
+  fix.AnswerReport(2000, 0);
+  fix.AnswerReport(2000, 0);
   fix.AcceptOrder("0");
   // The entry of the incarnation before comes late and changes nothing.
   fix.Register(1000, "draining");
@@ -158,11 +158,11 @@
 TEST_CASE("an order that is said to hold is believed once a report says so")
 {
   DutyFixture fix;
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   REQUIRE(fix.OldestPath() == "http://e:1/order");
   fix.client_.Answer(fix.client_.Oldest(), HttpResponse{ 200, {}, "ok" });
   fix.timers_.Advance(600ms);
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
 }
 
@@ -172,11 +172,11 @@
 TEST_CASE("a load that takes long keeps its place until it ends")
 {
   DutyFixture fix;
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
   for (int i = 0; i < 20; ++i) {
     fix.timers_.Advance(2s);
-    fix.Report(1000, 5, true);
+    fix.AnswerReport(1000, 5, true);
     REQUIRE(fix.client_.open_.empty());
   }
 }
@@ -184,12 +184,12 @@
 TEST_CASE("an order that was lost is sent again")
 {
   DutyFixture fix;
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
   fix.timers_.Advance(6s);
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.timers_.Advance(600ms);
-  fix.Report(1000, 4);
+  fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
 }
 
@@ -207,7 +207,7 @@
                    R"("models":[{"name":"m","version":1}]})");
   fakes.store_.Put("servers/i-2", "no entry at all");
   fakes.store_.Put("op/version/m", R"({"model":"m","version":2})");
-  HeldOrders duty(fakes.context_);
+  LeasedOrderDuty duty(fakes.context_);
   duty.Start();
   fakes.timers_.Advance(3s);
   REQUIRE(fakes.client_.sent_ == 0);
@@ -244,7 +244,7 @@
   fix.store_.Put("mt/duty/orders-last", "self");
   // Its run before was killed and its lease has not lapsed.
   fix.store_.Put("mt/duty/orders", "self~0");
-  HeldOrders duty(fix.context_);
+  LeasedOrderDuty duty(fix.context_);
   duty.Start();
   fix.timers_.Advance(100ms);
   REQUIRE(fix.client_.sent_ == 1);
@@ -255,7 +255,7 @@
 {
   UnfencedFixture fix;
   fix.store_.Put("mt/duty/orders-last", "other");
-  HeldOrders duty(fix.context_);
+  LeasedOrderDuty duty(fix.context_);
   duty.Start();
   fix.timers_.Advance(400ms);
   REQUIRE_FALSE(fix.store_.records_.contains("mt/duty/orders"));
@@ -273,7 +273,7 @@
   UnfencedFixture fix;
   fix.store_.Put("mt/duty/orders-last", "other");
   fix.store_.Put("mt/duty/orders", "self~0");
-  HeldOrders duty(fix.context_);
+  LeasedOrderDuty duty(fix.context_);
   duty.Start();
   fix.timers_.Advance(3400ms);
   REQUIRE(fix.client_.sent_ == 0);
@@ -287,7 +287,7 @@
 /// configuration.
 struct UnreadConfigFixture : GatewayFakes
 {
-  HeldOrders duty_{ context_ };
+  LeasedOrderDuty duty_{ context_ };
 
   UnreadConfigFixture()
   {
@@ -395,14 +395,14 @@
 /// A holder of the duty with many upstreams that all hold the version named.
 struct FleetFixture : GatewayFakes
 {
-  HeldOrders duty_{ context_ };
+  LeasedOrderDuty duty_{ context_ };
 
   FleetFixture()
   {
     settings_.fencing_ = true;
     store_.Put("op/config", kConfig);
     for (int i = 0; i < 50; ++i) {
-      Beat(i, 0);
+      WriteHeartbeat(i, 0);
     }
     store_.Put("op/version/m", R"({"model":"m","version":2})");
     duty_.Start();
@@ -410,7 +410,7 @@
   }
 
   /// What an upstream writes of itself about once a second.
-  void Beat(int aUpstream, int aCount, int aVersion = 2)
+  void WriteHeartbeat(int aUpstream, int aCount, int aVersion = 2)
   {
     store_.Put("servers/i-" + std::to_string(aUpstream),
                R"({"service":"lm","address":"e:1","zone":"z","slots":1,)"
@@ -420,7 +420,7 @@
                  std::to_string(aVersion) + "}]}");
   }
 
-  [[nodiscard]] int Plans() const
+  [[nodiscard]] int PlanCount() const
   {
     const std::string name = "order_plan_seconds_count ";
     const std::string text = metrics_.Render();
@@ -437,34 +437,34 @@
 TEST_CASE("beats that change nothing are not planned for")
 {
   FleetFixture fix;
-  const int before = fix.Plans();
+  const int before = fix.PlanCount();
   REQUIRE(before > 0);
   for (int beat = 1; beat <= 4; ++beat) {
     for (int i = 0; i < 50; ++i) {
-      fix.Beat(i, beat);
+      fix.WriteHeartbeat(i, beat);
     }
   }
-  REQUIRE(fix.Plans() == before);
+  REQUIRE(fix.PlanCount() == before);
   SECTION("an upstream falls behind the version named")
   {
     fix.store_.Put("op/version/m", R"({"model":"m","version":3})");
-    REQUIRE(fix.Plans() == before + 1);
+    REQUIRE(fix.PlanCount() == before + 1);
     REQUIRE(fix.client_.sent_ > 0);
   }
   SECTION("an upstream tells a newer version")
   {
-    fix.Beat(7, 5, 3);
-    REQUIRE(fix.Plans() == before + 1);
+    fix.WriteHeartbeat(7, 5, 3);
+    REQUIRE(fix.PlanCount() == before + 1);
   }
   SECTION("an upstream is new")
   {
-    fix.Beat(50, 0);
-    REQUIRE(fix.Plans() == before + 1);
+    fix.WriteHeartbeat(50, 0);
+    REQUIRE(fix.PlanCount() == before + 1);
   }
   SECTION("an upstream leaves")
   {
     fix.store_.Remove("servers/i-7");
-    REQUIRE(fix.Plans() == before + 1);
+    REQUIRE(fix.PlanCount() == before + 1);
   }
 }
 
@@ -474,12 +474,12 @@
 TEST_CASE("a change is planned for once the lease is renewed")
 {
   FleetFixture fix;
-  const int before = fix.Plans();
+  const int before = fix.PlanCount();
   fix.store_.fault_ = StoreFault::Silent;
   fix.timers_.Advance(1400ms);
   fix.store_.Put("op/version/m", R"({"model":"m","version":3})");
-  REQUIRE(fix.Plans() == before);
+  REQUIRE(fix.PlanCount() == before);
   fix.store_.fault_ = StoreFault::None;
   fix.timers_.Advance(1s);
-  REQUIRE(fix.Plans() > before);
+  REQUIRE(fix.PlanCount() > before);
 }
--- a/tests/test_supply.cpp
+++ b/tests/test_supply.cpp
@@ -12,29 +12,29 @@
 namespace {
 
 const ServiceId kModel{ "lm" };
-const ZoneId kOne{ "z1" };
-const ZoneId kTwo{ "z2" };
+const ZoneId kZone1{ "z1" };
+const ZoneId kZone2{ "z2" };
 
 SupplyView
-View(std::uint32_t aOne, std::uint32_t aTwo)
+MakeView(std::uint32_t aOne, std::uint32_t aTwo)
 {
   SupplyView view;
   view.service_ = kModel;
-  view.supply_ = { 1, 10, 4s, { { kOne, 1.2 }, { kTwo, 0.8 } }, 0.2 };
+  view.supply_ = { 1, 10, 4s, { { kZone1, 1.2 }, { kZone2, 0.8 } }, 0.2 };
   view.slots_ = 6;
-  view.serving_ = { { kOne, aOne }, { kTwo, aTwo } };
+  view.serving_ = { { kZone1, aOne }, { kZone2, aTwo } };
   return view;
 }
 
 /// What the plan does first, when it has seen these upstreams for a while.
-constexpr TimePoint kBegin{ 100s };
+constexpr TimePoint kStart{ 100s };
 
 /// A plan that knows how many upstreams were there at first.
 SupplyPlan
-Settled(const SupplyView& aView, SupplyPolicy aPolicy = {})
+ObservedPlan(const SupplyView& aView, SupplyPolicy aPolicy = {})
 {
   SupplyPlan plan(aPolicy);
-  REQUIRE(plan.Next(aView, kBegin - 4s).empty());
+  REQUIRE(plan.Next(aView, kStart - 4s).empty());
   return plan;
 }
 
@@ -52,10 +52,10 @@
 
 TEST_CASE("before any demand more upstreams are held than were there")
 {
-  SupplyPlan plan = Settled(View(3, 2));
-  const auto orders = Counts(plan.Next(View(3, 2), kBegin));
+  SupplyPlan plan = ObservedPlan(MakeView(3, 2));
+  const auto orders = Counts(plan.Next(MakeView(3, 2), kStart));
   REQUIRE(orders ==
-          std::map<ZoneId, std::uint32_t>{ { kOne, 5 }, { kTwo, 5 } });
+          std::map<ZoneId, std::uint32_t>{ { kZone1, 5 }, { kZone2, 5 } });
 }
 
 // Upstreams registered one after the other at a start; an order for twice as
@@ -63,138 +63,139 @@
 TEST_CASE("nothing is ordered before the upstreams of a start have registered")
 {
   SupplyPlan plan;
-  TimePoint now = kBegin;
+  TimePoint now = kStart;
   for (std::uint32_t count = 0; count < 5; ++count) {
     plan.OnDemand(kModel, 1000, now);
-    REQUIRE(plan.Next(View(count, count), now).empty());
+    REQUIRE(plan.Next(MakeView(count, count), now).empty());
     now = now + 1s;
   }
-  REQUIRE(plan.Next(View(4, 4), now + 1s).empty());
-  REQUIRE(plan.Next(View(4, 4), now + 2s).size() == 2);
+  REQUIRE(plan.Next(MakeView(4, 4), now + 1s).empty());
+  REQUIRE(plan.Next(MakeView(4, 4), now + 2s).size() == 2);
 }
 
 TEST_CASE("a burst of items raises the order at once, within the bounds")
 {
-  SupplyPlan plan = Settled(View(3, 3));
-  plan.OnDemand(kModel, 60, kBegin + 1s);
+  SupplyPlan plan = ObservedPlan(MakeView(3, 3));
+  plan.OnDemand(kModel, 60, kStart + 1s);
   // 60 places and a quarter more are 12.5 upstreams of six places.
-  const auto orders = plan.Next(View(3, 3), kBegin + 1s);
+  const auto orders = plan.Next(MakeView(3, 3), kStart + 1s);
   REQUIRE(Counts(orders) ==
-          std::map<ZoneId, std::uint32_t>{ { kOne, 6 }, { kTwo, 7 } });
+          std::map<ZoneId, std::uint32_t>{ { kZone1, 6 }, { kZone2, 7 } });
   for (const PlannedSupply& order : orders) {
-    plan.OnEnd(order, SupplyEnd::Accepted, kBegin + 1s);
+    plan.OnEnd(order, SupplyEnd::Accepted, kStart + 1s);
   }
-  REQUIRE(plan.Next(View(3, 3), kBegin + 2s).empty());
-  plan.OnDemand(kModel, 1000, kBegin + 3s);
-  REQUIRE(Counts(plan.Next(View(6, 7), kBegin + 3s)) ==
-          std::map<ZoneId, std::uint32_t>{ { kOne, 10 }, { kTwo, 10 } });
+  REQUIRE(plan.Next(MakeView(3, 3), kStart + 2s).empty());
+  plan.OnDemand(kModel, 1000, kStart + 3s);
+  REQUIRE(Counts(plan.Next(MakeView(6, 7), kStart + 3s)) ==
+          std::map<ZoneId, std::uint32_t>{ { kZone1, 10 }, { kZone2, 10 } });
 }
 
 TEST_CASE("less is ordered only after less was wanted for long")
 {
-  SupplyPlan plan = Settled(View(6, 7));
-  plan.OnDemand(kModel, 60, kBegin);
-  for (const PlannedSupply& order : plan.Next(View(6, 7), kBegin)) {
-    plan.OnEnd(order, SupplyEnd::Accepted, kBegin);
+  SupplyPlan plan = ObservedPlan(MakeView(6, 7));
+  plan.OnDemand(kModel, 60, kStart);
+  for (const PlannedSupply& order : plan.Next(MakeView(6, 7), kStart)) {
+    plan.OnEnd(order, SupplyEnd::Accepted, kStart);
   }
-  TimePoint now = kBegin;
-  while (now < kBegin + 89s) {
+  TimePoint now = kStart;
+  while (now < kStart + 89s) {
     now = now + 1s;
     plan.OnDemand(kModel, 12, now);
-    REQUIRE(plan.Next(View(6, 7), now).empty());
+    REQUIRE(plan.Next(MakeView(6, 7), now).empty());
   }
   now = now + 4s;
   plan.OnDemand(kModel, 12, now);
-  REQUIRE(Counts(plan.Next(View(6, 7), now)) ==
-          std::map<ZoneId, std::uint32_t>{ { kOne, 1 }, { kTwo, 2 } });
+  REQUIRE(Counts(plan.Next(MakeView(6, 7), now)) ==
+          std::map<ZoneId, std::uint32_t>{ { kZone1, 1 }, { kZone2, 2 } });
 }
 
 TEST_CASE("a zone that has none to give is passed over for a while")
 {
-  SupplyPlan plan = Settled(View(3, 3));
-  plan.OnDemand(kModel, 60, kBegin);
-  for (const PlannedSupply& order : plan.Next(View(3, 3), kBegin)) {
+  SupplyPlan plan = ObservedPlan(MakeView(3, 3));
+  plan.OnDemand(kModel, 60, kStart);
+  for (const PlannedSupply& order : plan.Next(MakeView(3, 3), kStart)) {
     plan.OnEnd(order,
-               order.pool_.zone_ == kOne ? SupplyEnd::Unavailable
-                                         : SupplyEnd::Accepted,
-               kBegin);
+               order.pool_.zone_ == kZone1 ? SupplyEnd::Unavailable
+                                           : SupplyEnd::Accepted,
+               kStart);
   }
   // What the first zone lacks is ordered in the second.
-  const auto elsewhere = plan.Next(View(3, 7), kBegin + 1s);
-  REQUIRE(Counts(elsewhere) == std::map<ZoneId, std::uint32_t>{ { kTwo, 10 } });
-  plan.OnEnd(elsewhere.front(), SupplyEnd::Accepted, kBegin + 1s);
-  REQUIRE(plan.Next(View(3, 10), kBegin + 4s).empty());
-  REQUIRE(Counts(plan.Next(View(3, 10), kBegin + 5s)) ==
-          std::map<ZoneId, std::uint32_t>{ { kOne, 6 } });
+  const auto elsewhere = plan.Next(MakeView(3, 7), kStart + 1s);
+  REQUIRE(Counts(elsewhere) ==
+          std::map<ZoneId, std::uint32_t>{ { kZone2, 10 } });
+  plan.OnEnd(elsewhere.front(), SupplyEnd::Accepted, kStart + 1s);
+  REQUIRE(plan.Next(MakeView(3, 10), kStart + 4s).empty());
+  REQUIRE(Counts(plan.Next(MakeView(3, 10), kStart + 5s)) ==
+          std::map<ZoneId, std::uint32_t>{ { kZone1, 6 } });
 }
 
 // The first order gets no answer and is carried out 12 s later, after a second
 // one for more.
 TEST_CASE("an order is repeated once an older one can have no effect any more")
 {
-  SupplyPlan plan = Settled(View(3, 7));
-  plan.OnDemand(kModel, 60, kBegin);
-  for (const PlannedSupply& order : plan.Next(View(3, 7), kBegin)) {
-    plan.OnEnd(order, SupplyEnd::Unknown, kBegin);
+  SupplyPlan plan = ObservedPlan(MakeView(3, 7));
+  plan.OnDemand(kModel, 60, kStart);
+  for (const PlannedSupply& order : plan.Next(MakeView(3, 7), kStart)) {
+    plan.OnEnd(order, SupplyEnd::Unknown, kStart);
   }
-  const auto again = plan.Next(View(3, 7), kBegin + 1s);
-  REQUIRE(Counts(again).at(kOne) == 6);
+  const auto again = plan.Next(MakeView(3, 7), kStart + 1s);
+  REQUIRE(Counts(again).at(kZone1) == 6);
   for (const PlannedSupply& order : again) {
-    plan.OnEnd(order, SupplyEnd::Accepted, kBegin + 1s);
+    plan.OnEnd(order, SupplyEnd::Accepted, kStart + 1s);
   }
-  REQUIRE(plan.Next(View(6, 7), kBegin + 12s).empty());
-  const auto last = plan.Next(View(6, 7), kBegin + 13s);
-  REQUIRE(Counts(last).at(kOne) == 6);
+  REQUIRE(plan.Next(MakeView(6, 7), kStart + 12s).empty());
+  const auto last = plan.Next(MakeView(6, 7), kStart + 13s);
+  REQUIRE(Counts(last).at(kZone1) == 6);
   for (const PlannedSupply& order : last) {
-    plan.OnEnd(order, SupplyEnd::Accepted, kBegin + 13s);
+    plan.OnEnd(order, SupplyEnd::Accepted, kStart + 13s);
   }
-  REQUIRE(plan.Next(View(6, 7), kBegin + 14s).empty());
+  REQUIRE(plan.Next(MakeView(6, 7), kStart + 14s).empty());
 }
 
 TEST_CASE("upstreams that did not come are ordered again after their boot")
 {
-  SupplyPlan plan = Settled(View(3, 7));
-  plan.OnDemand(kModel, 60, kBegin);
-  for (const PlannedSupply& order : plan.Next(View(3, 7), kBegin)) {
-    plan.OnEnd(order, SupplyEnd::Accepted, kBegin);
+  SupplyPlan plan = ObservedPlan(MakeView(3, 7));
+  plan.OnDemand(kModel, 60, kStart);
+  for (const PlannedSupply& order : plan.Next(MakeView(3, 7), kStart)) {
+    plan.OnEnd(order, SupplyEnd::Accepted, kStart);
   }
-  REQUIRE(plan.Next(View(3, 7), kBegin + 1s).empty());
-  REQUIRE(plan.Next(View(3, 7), kBegin + 8s).empty());
-  const auto again = plan.Next(View(3, 7), kBegin + 9s);
-  REQUIRE(Counts(again) == std::map<ZoneId, std::uint32_t>{ { kOne, 6 } });
+  REQUIRE(plan.Next(MakeView(3, 7), kStart + 1s).empty());
+  REQUIRE(plan.Next(MakeView(3, 7), kStart + 8s).empty());
+  const auto again = plan.Next(MakeView(3, 7), kStart + 9s);
+  REQUIRE(Counts(again) == std::map<ZoneId, std::uint32_t>{ { kZone1, 6 } });
   REQUIRE(again.front().reason_ == "fewer serve than were ordered");
 }
 
 TEST_CASE("a later holder does not order less than its predecessor did")
 {
   SupplyPlan plan;
-  plan.OnRestored({ kModel, kOne, false }, 9);
-  plan.OnRestored({ kModel, kTwo, false }, 9);
-  plan.OnDemand(kModel, 30, kBegin);
-  REQUIRE(plan.Next(View(3, 3), kBegin).empty());
+  plan.OnRestored({ kModel, kZone1, false }, 9);
+  plan.OnRestored({ kModel, kZone2, false }, 9);
+  plan.OnDemand(kModel, 30, kStart);
+  REQUIRE(plan.Next(MakeView(3, 3), kStart).empty());
 }
 
 TEST_CASE("reclaimable upstreams are ordered as a share of what is added")
 {
   SupplyPolicy policy;
   policy.spotShare_ = 0.5;
-  SupplyPlan plan = Settled(View(4, 2), policy);
-  plan.OnDemand(kModel, 1000, kBegin);
+  SupplyPlan plan = ObservedPlan(MakeView(4, 2), policy);
+  plan.OnDemand(kModel, 1000, kStart);
   std::map<std::pair<ZoneId, bool>, std::uint32_t> counts;
-  for (const PlannedSupply& order : plan.Next(View(4, 2), kBegin)) {
+  for (const PlannedSupply& order : plan.Next(MakeView(4, 2), kStart)) {
     counts[{ order.pool_.zone_, order.pool_.spot_ }] = order.count_;
   }
-  REQUIRE(counts[{ kOne, false }] == 7);
-  REQUIRE(counts[{ kOne, true }] == 3);
-  REQUIRE(counts[{ kTwo, false }] == 6);
-  REQUIRE(counts[{ kTwo, true }] == 4);
+  REQUIRE(counts[{ kZone1, false }] == 7);
+  REQUIRE(counts[{ kZone1, true }] == 3);
+  REQUIRE(counts[{ kZone2, false }] == 6);
+  REQUIRE(counts[{ kZone2, true }] == 4);
 }
 
 namespace {
 
 /// Steps of a trainer: a burst of items each four seconds, each item needs a
 /// place for some time. The platform boots what is ordered.
-struct StepPlay
+struct StepSimulation
 {
   SupplyPlan plan_;
   std::uint32_t serving_ = 4;
@@ -203,7 +204,7 @@
   std::uint32_t orders_ = 0;
   double upstreamSeconds_ = 0;
 
-  explicit StepPlay(SupplyPolicy aPolicy)
+  explicit StepSimulation(SupplyPolicy aPolicy)
     : plan_(aPolicy)
   {
   }
@@ -242,9 +243,9 @@
     if (aPlaces > 0) {
       plan_.OnDemand(kModel, aPlaces, aNow);
     }
-    SupplyView view = View(0, 0);
+    SupplyView view = MakeView(0, 0);
     view.supply_.max_ = 30;
-    view.serving_ = { { kOne, serving_ } };
+    view.serving_ = { { kZone1, serving_ } };
     for (const PlannedSupply& order : plan_.Next(view, aNow)) {
       ++orders_;
       booting_.emplace_back(aNow + 4s, order.count_);
@@ -252,7 +253,7 @@
     }
   }
 
-  [[nodiscard]] double ShareAtOnce() const
+  [[nodiscard]] double ImmediateShare() const
   {
     const auto atOnce = std::count(waits_.begin(), waits_.end(), Duration{ 0 });
     return static_cast<double>(atOnce) / static_cast<double>(waits_.size());
@@ -274,17 +275,17 @@
   use.headroom_ = 1.0;
   use.demandWindow_ = 1s;
   use.scaleDownDelay_ = 2s;
-  StepPlay standing(none);
-  StepPlay byUse(use);
-  StepPlay byBursts({});
+  StepSimulation standing(none);
+  StepSimulation byUse(use);
+  StepSimulation byBursts({});
   standing.Run(60);
   byUse.Run(60);
   byBursts.Run(60);
-  INFO(standing.ShareAtOnce()
-       << " " << byUse.ShareAtOnce() << " " << byBursts.ShareAtOnce());
-  CHECK(byBursts.ShareAtOnce() > byUse.ShareAtOnce());
-  CHECK(byUse.ShareAtOnce() > standing.ShareAtOnce());
-  CHECK(byBursts.ShareAtOnce() >= 0.9);
+  INFO(standing.ImmediateShare()
+       << " " << byUse.ImmediateShare() << " " << byBursts.ImmediateShare());
+  CHECK(byBursts.ImmediateShare() > byUse.ImmediateShare());
+  CHECK(byUse.ImmediateShare() > standing.ImmediateShare());
+  CHECK(byBursts.ImmediateShare() >= 0.9);
   CHECK(standing.orders_ == 0);
   // No thrashing: the number changes with the first demand and then stays.
   CHECK(byBursts.orders_ <= 3);
@@ -294,7 +295,7 @@
 
 struct SupplyFixture : GatewayFakes
 {
-  HeldOrders orders_{ context_ };
+  LeasedOrderDuty orders_{ context_ };
   std::unique_ptr<SupplyDuty> duty_;
 
   SupplyFixture()
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -24,7 +24,7 @@
 }
 
 GatewayUsage
-Told(const std::string& aGateway, UsageCounts aCounts)
+UsageOf(const std::string& aGateway, UsageCounts aCounts)
 {
   GatewayUsage usage;
   usage.incarnation_ = aGateway;
@@ -87,11 +87,11 @@
   REQUIRE(read.demand_ == usage.demand_);
   REQUIRE(read.modelDemand_ == usage.modelDemand_);
   REQUIRE(read.longRuns_ == usage.longRuns_);
-  const auto ask =
+  const auto request =
     DecodeUsageRequest(EncodeUsageRequest({ At(12s), 5s, { "a:1", "b:2" } }));
-  REQUIRE(ask);
-  REQUIRE(ask.value().now_ == At(12s));
-  REQUIRE(ask.value().others_ == std::vector<std::string>{ "a:1", "b:2" });
+  REQUIRE(request);
+  REQUIRE(request.value().now_ == At(12s));
+  REQUIRE(request.value().others_ == std::vector<std::string>{ "a:1", "b:2" });
   REQUIRE_FALSE(DecodeUsageRequest(EncodeUsageRequest({ At(12s), 0s, {} })));
   REQUIRE_FALSE(DecodeUsageRequest(EncodeUsageRequest({ At(-1s), 5s, {} })));
   REQUIRE_FALSE(DecodeUsageRequest("x"));
@@ -110,89 +110,89 @@
 
 TEST_CASE("a window is settled when all gateways told what began in it")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({}, At(101s));
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({}, At(101s));
   const std::set<std::string> both{ "g1", "g2" };
-  book.OnUsage(Told("g1", { { 20, { { kNorth, 2 } } } }), At(107s));
-  REQUIRE_FALSE(book.NextDue(At(106s), both));
+  ledger.OnUsage(UsageOf("g1", { { 20, { { kNorth, 2 } } } }), At(107s));
+  REQUIRE_FALSE(ledger.NextDue(At(106s), both));
   // g2 was asked too early: more may have begun since.
-  book.OnUsage(Told("g2", { { 20, { { kNorth, 1 } } } }), At(106s));
-  REQUIRE_FALSE(book.NextDue(At(108s), both));
-  book.OnUsage(Told("g2", { { 20, { { kNorth, 4 } } } }), At(107s));
-  REQUIRE(book.NextDue(At(108s), both) == 20U);
-  REQUIRE(book.CountsOf(20) == CustomerCounts{ { kNorth, 6 } });
-  book.OnSettled(20, { book.CountsOf(20), false });
-  REQUIRE_FALSE(book.NextDue(At(108s), both));
-  REQUIRE(book.NextToSend() == 20U);
-  book.OnSent(20);
-  REQUIRE_FALSE(book.NextToSend());
+  ledger.OnUsage(UsageOf("g2", { { 20, { { kNorth, 1 } } } }), At(106s));
+  REQUIRE_FALSE(ledger.NextDue(At(108s), both));
+  ledger.OnUsage(UsageOf("g2", { { 20, { { kNorth, 4 } } } }), At(107s));
+  REQUIRE(ledger.NextDue(At(108s), both) == 20U);
+  REQUIRE(ledger.CountsOf(20) == CustomerCounts{ { kNorth, 6 } });
+  ledger.OnSettled(20, { ledger.CountsOf(20), false });
+  REQUIRE_FALSE(ledger.NextDue(At(108s), both));
+  REQUIRE(ledger.NextToSend() == 20U);
+  ledger.OnSent(20);
+  REQUIRE_FALSE(ledger.NextToSend());
 }
 
 TEST_CASE("a gateway that is gone counts with what it told last")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({}, At(101s));
-  book.OnUsage(Told("g1", { { 20, { { kNorth, 2 } } } }), At(104s));
-  book.OnUsage(Told("g1-again", { { 20, { { kNorth, 1 } } } }), At(107s));
-  REQUIRE(book.NextDue(At(107s), { "g1-again" }) == 20U);
-  REQUIRE(book.CountsOf(20) == CustomerCounts{ { kNorth, 3 } });
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({}, At(101s));
+  ledger.OnUsage(UsageOf("g1", { { 20, { { kNorth, 2 } } } }), At(104s));
+  ledger.OnUsage(UsageOf("g1-again", { { 20, { { kNorth, 1 } } } }), At(107s));
+  REQUIRE(ledger.NextDue(At(107s), { "g1-again" }) == 20U);
+  REQUIRE(ledger.CountsOf(20) == CustomerCounts{ { kNorth, 3 } });
 }
 
 TEST_CASE("a gateway that does not tell holds a window up only so long")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({}, At(101s));
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({}, At(101s));
   const std::set<std::string> both{ "g1", "silent" };
-  book.OnUsage(Told("g1", {}), At(110s));
-  REQUIRE_FALSE(book.NextDue(At(111900ms), both));
-  REQUIRE(book.NextDue(At(112s), both) == 20U);
+  ledger.OnUsage(UsageOf("g1", {}), At(110s));
+  REQUIRE_FALSE(ledger.NextDue(At(111900ms), both));
+  REQUIRE(ledger.NextDue(At(112s), both) == 20U);
 }
 
 TEST_CASE("a later holder goes on after the windows settled before it")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({ { 18, { { { kNorth, 1 } }, true } },
-               { 19, { { { kNorth, 2 } }, false } } },
-             At(113s));
-  REQUIRE(book.NextToSend() == 19U);
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({ { 18, { { { kNorth, 1 } }, true } },
+                 { 19, { { { kNorth, 2 } }, false } } },
+               At(113s));
+  REQUIRE(ledger.NextToSend() == 19U);
   // 20 and 21 ended while there was no holder.
-  book.OnUsage(Told("g1", { { 20, { { kSouth, 1 } } } }), At(113s));
-  REQUIRE(book.NextDue(At(113s), { "g1" }) == 20U);
-  book.OnSettled(20, { book.CountsOf(20), false });
-  REQUIRE(book.Settled().at(20).counts_ == CustomerCounts{ { kSouth, 1 } });
+  ledger.OnUsage(UsageOf("g1", { { 20, { { kSouth, 1 } } } }), At(113s));
+  REQUIRE(ledger.NextDue(At(113s), { "g1" }) == 20U);
+  ledger.OnSettled(20, { ledger.CountsOf(20), false });
+  REQUIRE(ledger.Settled().at(20).counts_ == CustomerCounts{ { kSouth, 1 } });
 }
 
 TEST_CASE("a holder after a long time bills nothing that nobody counted")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({ { 18, { {}, true } } }, At(1003s));
-  REQUIRE(book.NextDue(At(1003s), {}) == 188U);
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({ { 18, { {}, true } } }, At(1003s));
+  REQUIRE(ledger.NextDue(At(1003s), {}) == 188U);
 }
 
 TEST_CASE("old windows are dropped once they were sent")
 {
-  UsageLedger book({ 5s, 10s, 2s, 0.7 });
-  book.Begin({}, At(0s));
+  UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
+  ledger.Begin({}, At(0s));
   for (UsageWindow window = 0; window < 15; ++window) {
-    book.OnSettled(window, {});
+    ledger.OnSettled(window, {});
   }
-  REQUIRE(book.TakeObsolete().empty());
-  book.OnSent(0);
-  book.OnSent(1);
-  REQUIRE(book.TakeObsolete() == std::vector<UsageWindow>{ 0, 1 });
+  REQUIRE(ledger.TakeObsolete().empty());
+  ledger.OnSent(0);
+  ledger.OnSent(1);
+  REQUIRE(ledger.TakeObsolete() == std::vector<UsageWindow>{ 0, 1 });
 }
 
 namespace {
 
 /// The platform as a judge of reports: each window has one count, and a call
 /// may be carried out long after it was sent.
-struct Judge
+struct ReportReceiver
 {
   std::map<std::string, std::string> accepted_;
   std::uint64_t highest_ = 0;
   std::size_t refused_ = 0;
 
-  int Take(const HttpCall& aCall)
+  int Receive(const HttpCall& aCall)
   {
     const auto fence = ParseNumber(
       FindHeader(aCall.headers_, "Fencing-Token").value_or(""), 1, UINT64_MAX);
@@ -213,26 +213,26 @@
 };
 
 /// Calls to one gateway, which tells what the test set.
-struct OneGateway final : PeerCalls
+struct FakeGatewayCalls final : PeerCalls
 {
   const Clock* clock_ = nullptr;
   GatewayUsage usage_;
   /// How far its time of day is ahead of the paused clock.
-  Duration shift_{ 0 };
-  bool silent_ = false;
+  Duration clockOffset_{ 0 };
+  bool unresponsive_ = false;
   std::size_t calls_ = 0;
 
   void Call(const std::string&, RpcCall aCall, RpcDone aDone) override
   {
     ++calls_;
     REQUIRE(aCall.topic_ == RpcTopic::Usage);
-    if (silent_) {
+    if (unresponsive_) {
       aDone(Error{ ErrorKind::Timeout, "no answer" });
     } else {
-      const auto ask = DecodeUsageRequest(aCall.body_);
-      REQUIRE(ask);
-      usage_.clockAhead_ =
-        clock_->Now() - TimePoint{} + shift_ - ask.value().now_.sinceEpoch_;
+      const auto request = DecodeUsageRequest(aCall.body_);
+      REQUIRE(request);
+      usage_.clockAhead_ = clock_->Now() - TimePoint{} + clockOffset_ -
+                           request.value().now_.sinceEpoch_;
       aDone(EncodeUsageReply({ usage_ }));
     }
   }
@@ -242,7 +242,7 @@
 /// One process that may hold the duty.
 struct Holder
 {
-  OneGateway gateway_;
+  FakeGatewayCalls gateway_;
   FakeClient client_;
   Metrics metrics_;
   RelayPlan relays_;
@@ -277,7 +277,7 @@
 
 struct UsageFixture : GatewayFakes
 {
-  Judge judge_;
+  ReportReceiver receiver_;
 
   UsageFixture()
   {
@@ -290,7 +290,7 @@
   }
 
   /// The window that is present now.
-  [[nodiscard]] UsageWindow Present() const
+  [[nodiscard]] UsageWindow CurrentWindow() const
   {
     return WindowOf(At(clock_.Now() - TimePoint{}), 5s);
   }
@@ -300,7 +300,7 @@
   {
     while (!aHolder.client_.open_.empty()) {
       SentCall call = aHolder.client_.Oldest();
-      const int status = judge_.Take(call.call_);
+      const int status = receiver_.Receive(call.call_);
       aHolder.client_.Answer(std::move(call), JsonResponse(status, "{}"));
     }
   }
@@ -321,15 +321,15 @@
   UsageFixture fix;
   Holder holder(fix, "o1~1");
   holder.lease_.Start();
-  const UsageWindow first = fix.Present();
+  const UsageWindow first = fix.CurrentWindow();
   holder.gateway_.usage_.counts_ = { { first, { { kNorth, 3 } } } };
   fix.Run(holder, 9s);
-  REQUIRE(fix.judge_.accepted_.size() == 1);
+  REQUIRE(fix.receiver_.accepted_.size() == 1);
   const std::size_t commits = fix.store_.commits_;
   fix.Run(holder, 20s);
-  REQUIRE(fix.judge_.accepted_.size() == 5);
+  REQUIRE(fix.receiver_.accepted_.size() == 5);
   REQUIRE(fix.store_.commits_ - commits == 4);
-  REQUIRE(fix.judge_.accepted_.begin()->second.find(R"("north":3)") !=
+  REQUIRE(fix.receiver_.accepted_.begin()->second.find(R"("north":3)") !=
           std::string::npos);
 }
 
@@ -342,7 +342,7 @@
   Holder first(fix, "o1~1");
   Holder second(fix, "o2~1");
   first.lease_.Start();
-  const UsageWindow window = fix.Present();
+  const UsageWindow window = fix.CurrentWindow();
   first.gateway_.usage_.counts_ = { { window, { { kNorth, 3 } } } };
   second.gateway_.usage_.counts_ = { { window, { { kNorth, 4 } } } };
   fix.timers_.Advance(9s);
@@ -351,11 +351,11 @@
   first.lease_.Stop();
   second.lease_.Start();
   fix.Run(second, 3s);
-  REQUIRE(fix.judge_.accepted_.size() == 1);
-  REQUIRE(fix.judge_.accepted_.begin()->second.find(R"("north":3)") !=
+  REQUIRE(fix.receiver_.accepted_.size() == 1);
+  REQUIRE(fix.receiver_.accepted_.begin()->second.find(R"("north":3)") !=
           std::string::npos);
   // Fenced, or it would have to be equal.
-  REQUIRE(fix.judge_.Take(late) == 409);
+  REQUIRE(fix.receiver_.Receive(late) == 409);
 }
 
 TEST_CASE(
@@ -364,7 +364,7 @@
   UsageFixture fix;
   Holder holder(fix, "o1~1");
   holder.lease_.Start();
-  const UsageWindow window = fix.Present();
+  const UsageWindow window = fix.CurrentWindow();
   holder.gateway_.usage_.counts_ = { { window, { { kNorth, 3 } } } };
   fix.Run(holder, 8200ms);
   fix.store_.fault_ = StoreFault::LosesAnswers;
@@ -377,7 +377,7 @@
   fix.store_.fault_ = StoreFault::None;
   holder.gateway_.usage_.counts_ = { { window, { { kNorth, 5 } } } };
   fix.Run(holder, 3s);
-  REQUIRE(fix.judge_.accepted_.begin()->second.find(R"("north":3)") !=
+  REQUIRE(fix.receiver_.accepted_.begin()->second.find(R"("north":3)") !=
           std::string::npos);
 }
 
@@ -412,13 +412,13 @@
 {
   UsageFixture fix;
   Holder holder(fix, "o1~1");
-  holder.gateway_.silent_ = true;
+  holder.gateway_.unresponsive_ = true;
   holder.lease_.Start();
   fix.timers_.Advance(20s);
   REQUIRE(holder.client_.sent_ == 0);
   // Its clock is 2 s ahead of the gateways'.
-  holder.gateway_.silent_ = false;
-  holder.gateway_.shift_ = -2s;
+  holder.gateway_.unresponsive_ = false;
+  holder.gateway_.clockOffset_ = -2s;
   fix.Run(holder, 1500ms);
   REQUIRE(holder.poll_.Now() ==
           At(fix.clock_.Now() - TimePoint{} - Duration{ 2s }));
@@ -443,10 +443,10 @@
     for (int step = 0; step < 400; ++step) {
       fix.timers_.Advance(100ms);
       begun += random.Next() % 3;
-      const UsageWindow present = fix.Present();
+      const UsageWindow current = fix.CurrentWindow();
       for (const auto& holder : holders) {
-        holder->gateway_.usage_.counts_[present][kNorth] = begun;
-        holder->gateway_.silent_ = random.Next() % 10 == 0;
+        holder->gateway_.usage_.counts_[current][kNorth] = begun;
+        holder->gateway_.unresponsive_ = random.Next() % 10 == 0;
         while (!holder->client_.open_.empty()) {
           SentCall call = holder->client_.Oldest();
           const std::uint64_t luck = random.Next() % 10;
@@ -454,16 +454,16 @@
             delayed.push_back(call.call_);
             holder->client_.Fail(std::move(call), HttpEnd::TimedOut);
           } else if (luck == 1) {
-            fix.judge_.Take(call.call_);
+            fix.receiver_.Receive(call.call_);
             holder->client_.Fail(std::move(call), HttpEnd::TimedOut);
           } else {
-            const int status = fix.judge_.Take(call.call_);
+            const int status = fix.receiver_.Receive(call.call_);
             holder->client_.Answer(std::move(call), JsonResponse(status, "{}"));
           }
         }
       }
       if (!delayed.empty() && random.Next() % 20 == 0) {
-        fix.judge_.Take(delayed.front());
+        fix.receiver_.Receive(delayed.front());
         delayed.erase(delayed.begin());
       }
       const std::uint64_t trouble = random.Next() % 40;
@@ -481,11 +481,11 @@
     for (int i = 0; i < 150; ++i) {
       fix.timers_.Advance(100ms);
       for (const auto& holder : holders) {
-        holder->gateway_.silent_ = false;
+        holder->gateway_.unresponsive_ = false;
         fix.Serve(*holder);
       }
     }
     // Windows of the first 30 s have all been told.
-    CHECK(fix.judge_.accepted_.size() >= 6);
+    CHECK(fix.receiver_.accepted_.size() >= 6);
   }
 }
