--- a/src/programs/orderd/duty_lease.cpp
+++ b/src/programs/orderd/duty_lease.cpp
@@ -12,17 +12,17 @@
 
 constexpr const char* kDutyPrefix = "mt/duty/";
 constexpr const char* kDutyKey = "mt/duty/orders";
-/// The instance that held the lease last; stays when the lease ends.
+/// Names the instance that held the lease last; outlives the lease.
 constexpr const char* kLastHolderKey = "mt/duty/orders-last";
 
-/// Pause after a failure.
 constexpr auto kRetryPause = std::chrono::milliseconds(500);
-/// Where upstreams check no fencing numbers, another instance than the last
-/// holder has to wait out its turn, 3 s; so at a start the last holder gets
-/// this much time to come back, which processes that are killed together do
-/// within some 100 ms of each other. Without it and the record of the last
-/// holder no orders went out for 4.2 s after all processes were killed; with
-/// them, for 0.6 s, of which the processes were down for 0.5 s.
+/// If upstreams do not check fencing numbers, an instance other than the last
+/// holder must wait for `order-turn` (3 s) before it sends orders. At startup
+/// the last holder is therefore given this head start: processes that were
+/// killed together restart within about 100 ms of each other. After a kill of
+/// all processes, orders stopped for 4.2 s without the head start and the
+/// record of the last holder, and for 0.6 s with them, including 0.5 s of
+/// downtime.
 constexpr auto kLastHolderHeadStart = std::chrono::milliseconds(500);
 
 } // namespace
@@ -146,9 +146,10 @@
            "duty_held",
            { { "duty", "orders" }, { "fence", std::to_string(aFence.Get()) } });
   pendingFence_ = aFence;
-  // A holder whose lease lapsed was out of reach, and upstreams refuse its
-  // number from our first order on. Where they check none, its last orders
-  // have to be over; our own instance's are.
+  // A previous holder whose lease expired may still send orders. With fencing,
+  // upstreams refuse them from the first order of this holder on. Without it,
+  // this holder waits until they can no longer take effect, unless they came
+  // from an earlier run of this instance.
   if (host_.Settings().fencing_) {
     BeginOnceHeld(aFence);
     return;
@@ -160,8 +161,8 @@
   });
 }
 
-/// The answers that made the key ours may have come so late that the lease is
-/// nearly over; the next renewal makes it certain.
+/// The replies that granted the lease may arrive so late that it has nearly
+/// expired. In that case the duties begin after the next renewal.
 void
 DutyLease::BeginOnceHeld(FencingNumber aFence)
 {
@@ -208,7 +209,7 @@
   LogEvent(LogLevel::Warn,
            "duty_fenced",
            { { "fence", std::to_string(key_.Fence().Get()) },
-             { "outcome", "the lease is given up" } });
+             { "outcome", "the lease is abandoned" } });
   End();
   key_.StartOver();
 }
--- a/src/programs/orderd/duty_lease.hpp
+++ b/src/programs/orderd/duty_lease.hpp
@@ -1,7 +1,7 @@
-/// The lease under which one process at a time acts for all: it orders
-/// upstreams to weight versions, reports customers' use and orders upstreams
-/// from the platform. The key's revision is the fencing number of all these
-/// calls.
+/// The lease that makes one process at a time responsible for the order duties:
+/// ordering weight versions from upstreams, reporting customers' usage, and
+/// ordering upstreams from the platform. The revision of the lease key is the
+/// fencing number of all these calls.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -12,39 +12,43 @@
 
 namespace marjoramtally {
 
-/// Holds the lease or waits for it. Used on one loop.
+/// Holds the lease or contends for it. Confined to one event loop.
 class DutyLease
 {
 public:
   explicit DutyLease(GatewayContext& aHost);
 
-  /// Of one duty; told in the order of their registration.
+  /// Callbacks of one duty; called in the order of registration.
   struct Listener
   {
     std::function<void()> onBegin_;
     std::function<void()> onEnd_;
   };
-  /// Before `Start`.
+  /// Call before `Start`.
   void Add(Listener aListener) { listeners_.push_back(std::move(aListener)); }
 
+  /// Starts to contend for the lease. Without fencing, an instance other than
+  /// the last holder starts later.
   void Start();
-  /// The process ends: the next holder need not wait.
+  /// Releases the lease at once, because the process is stopping.
   void Stop();
-  /// Gives the lease back while the process lives on.
+  /// Ends the duties, and releases the lease `order-turn` after the last call,
+  /// when no call is in progress any more.
   void Withdraw();
-  /// A call under the lease is being sent.
+  /// Call before each request that is sent under the lease.
   void OnCallSent() { lastCallAt_ = host_.Now(); }
-  /// A call was refused for a higher fencing number.
+  /// Call when a request was refused because of a higher fencing number.
+  /// Abandons the lease.
   void OnFenced();
 
-  /// @returns whether the duties are ours now
+  /// @returns whether this process performs the duties now
   [[nodiscard]] bool Active() const noexcept { return active_; }
-  /// @returns whether the lease is ours for certain, less a margin for what is
-  /// sent now to arrive
+  /// @returns whether the lease certainly lasts until a call that is sent now
+  /// has arrived
   [[nodiscard]] bool Held() const noexcept { return active_ && key_.Held(); }
   [[nodiscard]] FencingNumber Fence() const noexcept { return key_.Fence(); }
-  /// @returns what a write of the holder compares, so that a later holder's
-  /// writes stay
+  /// @returns the comparison to put into each write of the holder, so that it
+  /// cannot overwrite a later holder's records
   [[nodiscard]] StoreCompare Compare() const;
   [[nodiscard]] DutyCaller Caller() const
   {
@@ -52,26 +56,25 @@
   }
 
 private:
-  /// Contends for the lease; where calls are not checked for their numbers, the
-  /// instance that made the last ones goes first.
   void Contend();
   void OnHeld(FencingNumber aFence);
   void BeginOnceHeld(FencingNumber aFence);
   void Begin();
   void End();
   /// Reads which instance held the lease last.
-  /// @param aDone told whether it was this one, or nothing if none is known
+  /// @param aDone receives whether it was this one, or nothing if unknown
   void ReadLastHolder(std::function<void(std::optional<bool>)> aDone);
-  /// Writes that this instance acts from now on, then begins.
+  /// Records this instance as the last holder, then begins the duties.
   void WriteLastHolder(FencingNumber aFence);
 
   GatewayContext& host_;
   LeasedKey key_;
   PrefixFollower dutyRecords_;
   std::vector<Listener> listeners_;
-  /// The number under which the duties are to begin; none: they are not ours.
+  /// The fencing number under which the duties are to begin; empty if this
+  /// process does not hold the lease.
   FencingNumber pendingFence_;
-  /// The record of the last holder names this instance.
+  /// Whether the record of the last holder names this instance.
   bool isLastHolder_ = false;
   bool active_ = false;
   bool stopped_ = false;
--- a/src/programs/orderd/gateway_poll.cpp
+++ b/src/programs/orderd/gateway_poll.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Where gateways keep their signs of life.
+/// Prefix of the gateways' liveness records.
 constexpr std::string_view kLivenessPrefix = "mt/c/live/";
-/// What a gateway counted since the last round is lost with it.
+/// If a gateway fails, its counts since the last round are lost.
 constexpr auto kPollInterval = std::chrono::milliseconds(1000);
 constexpr auto kPollTimeout = std::chrono::milliseconds(800);
-/// One gateway asks so many others on behalf of the holder, whose calls and
-/// connections so stay few.
+/// One gateway of each group polls the rest of the group on behalf of the
+/// holder, which limits the holder's calls and connections.
 constexpr std::size_t kMaxGroupSize = 32;
-/// Clocks that differ by less are taken for equal.
+/// Smaller differences between clocks are ignored.
 constexpr auto kMinClockCorrection = std::chrono::milliseconds(3);
 
 } // namespace
@@ -110,8 +110,8 @@
       std::vector<std::string> group(
         addresses.begin() + static_cast<std::ptrdiff_t>(at),
         addresses.begin() + static_cast<std::ptrdiff_t>(end));
-      // Another one asks the others each time, so that one which does not
-      // answer is passed over.
+      // A different gateway polls its group in each round, so that an
+      // unresponsive one does not block its group permanently.
       std::rotate(group.begin(),
                   group.begin() +
                     static_cast<std::ptrdiff_t>(round_ % group.size()),
@@ -179,7 +179,8 @@
   }
 }
 
-/// Clocks of most instances are close to the true time, and any may jump.
+/// The median is used because most clocks are close to the true time, while any
+/// single clock may jump.
 void
 GatewayPoll::FinishRound()
 {
--- a/src/programs/orderd/gateway_poll.hpp
+++ b/src/programs/orderd/gateway_poll.hpp
@@ -1,5 +1,5 @@
-/// Asks all gateways, now and again, what customers used and which places are
-/// wanted, and learns from their clocks what the true time is.
+/// Polls all gateways periodically for customers' usage and for the demand for
+/// upstream slots, and estimates the true time from their clocks.
 #pragma once
 
 #include "marjoramtally/process/relay_plan.hpp"
@@ -10,26 +10,26 @@
 
 namespace marjoramtally {
 
-/// Polls while the lease is held. Used on one loop.
+/// Polls while the lease is held. Confined to one event loop.
 class GatewayPoll
 {
 public:
-  /// Both outlive this.
+  /// Both arguments must outlive this object.
   GatewayPoll(GatewayContext& aHost, DutyLease& aLease);
 
-  /// Set before the lease is held. Told what one gateway said when it was asked
-  /// at that time.
+  /// Called for the usage of each gateway that replied, with the time at which
+  /// it was requested. Set before the lease is held.
   std::function<void(const GatewayUsage&, TrueTime aRequestedAt)> onUsage_;
-  /// Told after each round.
+  /// Called after each polling round. Set before the lease is held.
   std::function<void()> onRound_;
 
   [[nodiscard]] TrueTime Now() const noexcept
   {
     return TrueTime{ (host_.Now() - TimePoint{}) + offset_ };
   }
-  /// @returns whether other clocks than this process's were asked
+  /// @returns whether the time has been compared with any gateway's clock
   [[nodiscard]] bool Calibrated() const noexcept { return calibrated_; }
-  /// @returns the incarnations of the gateways
+  /// @returns the incarnations of the live gateways
   [[nodiscard]] std::set<std::string> Gateways() const;
 
 private:
@@ -48,12 +48,14 @@
   GatewayContext& host_;
   DutyLease& lease_;
   std::unique_ptr<PrefixFollower> livenessRecords_;
+  /// By incarnation.
   std::map<std::string, LivenessRecord> liveGateways_;
-  /// From this process's monotonic clock to the true time.
+  /// Offset from this process's monotonic clock to the true time.
   Duration offset_{ 0 };
   bool calibrated_ = false;
   std::uint64_t round_ = 0;
   std::size_t pendingReplies_ = 0;
+  /// How far each gateway's clock is ahead, as replied in this round.
   std::vector<Duration> clocksAhead_;
   LoopTimerId timer_ = 0;
 };
--- a/src/programs/orderd/main.cpp
+++ b/src/programs/orderd/main.cpp
@@ -1,5 +1,6 @@
-/// The daemon of the duties that one process has for all: weight versions of
-/// upstreams, reports of customers' use, orders for upstreams.
+/// The daemon for the duties that one process at a time performs: ordering
+/// weight versions from upstreams, reporting customers' usage, and ordering
+/// upstreams from the platform.
 
 #include "programs/orderd/supply_duty.hpp"
 #include "programs/orderd/usage_duty.hpp"
@@ -15,7 +16,7 @@
 main(int aArgc, char** aArgv)
 {
   using namespace marjoramtally;
-  // A stop signal that comes during the start waits for `Run`.
+  // A stop signal that arrives during startup is handled by `Run`.
   BlockDaemonSignals();
   int code = kExitOk;
   auto settings = StartGatewayDaemon(
@@ -23,7 +24,7 @@
     aArgv,
     "marjoram-orderd",
     "Orders upstreams and their weight versions, reports customers' "
-    "use.",
+    "usage.",
     code);
   if (!settings) {
     return code;
@@ -32,8 +33,8 @@
     [](HttpClient& aClient, LoopTimers& aTimers, const std::string& aAddress) {
       PlatformStoreOptions options;
       options.address_ = aAddress;
-      // A version that is named a few seconds late holds up nobody: steps
-      // allow the one before.
+      // Announcing a version a few seconds late blocks nothing: steps accept
+      // the previous version.
       options.hold_ = std::chrono::seconds(3);
       return MakePlatformStore(aClient, aTimers, std::move(options));
     };
@@ -56,7 +57,7 @@
   host.Run([&lease] { lease.Start(); },
            [&lease] { lease.Stop(); },
            [] { return true; });
-  // What is still in progress has been cut by the grace; its callbacks must
-  // not run into objects that are being destroyed.
+  // Requests that outlasted the grace period are still in progress. Exiting
+  // without destructors keeps their callbacks from using destroyed objects.
   std::_Exit(kExitOk);
 }
--- a/src/programs/orderd/order_duty.cpp
+++ b/src/programs/orderd/order_duty.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// The configuration tells which kind of order is better and which services
-/// there are; a service that is missing is looked up at once. A watch would
-/// cost seven times the calls.
+/// The configuration determines the kind of orders and the known services; an
+/// unknown service causes an immediate read. A watch would need seven times as
+/// many calls.
 constexpr auto kConfigReadInterval = std::chrono::seconds(10);
 
 } // namespace
@@ -40,7 +40,7 @@
 void
 OrderDuty::Begin()
 {
-  // What was read in an earlier turn may have changed since.
+  // A configuration read in an earlier term may be outdated.
   services_.reset();
   singleVersion_.clear();
   planDue_ = true;
@@ -95,7 +95,7 @@
       if (term_ != aTerm) {
         return;
       }
-      // As long as none is known, orders wait for it.
+      // Orders wait until the configuration is known.
       const bool known = aRange && services_;
       const auto pause =
         known ? Duration{ kConfigReadInterval } : Duration{ kOrderRetryPause };
@@ -116,10 +116,12 @@
     }
     const auto config = host_.Formats().ReadConfig(record.value_);
     if (!config) {
-      LogEvent(LogLevel::Error,
-               "config_unreadable",
-               { { "error", config.error().message_ },
-                 { "orders", services_ ? "go on by the last" : "wait" } });
+      LogEvent(
+        LogLevel::Error,
+        "config_unreadable",
+        { { "error", config.error().message_ },
+          { "orders",
+            services_ ? "continue with the last configuration" : "wait" } });
       continue;
     }
     singleVersion_ = SingleVersionModels(config.value());
@@ -172,7 +174,7 @@
         view.slots_ = entry.slots_;
       }
     }
-    // A zone without any that serves was one of the service's before.
+    // Include zones in which no upstream serves now.
     for (const auto& [zone, price] : supply.zonePrices_) {
       view.serving_.try_emplace(zone, 0);
     }
@@ -183,8 +185,9 @@
   return views;
 }
 
-/// What left while no watch was open is told of only by being missing here; it
-/// would stay a home of its models that no order reaches.
+/// An upstream that left while no watch was open appears in no event; it is
+/// only missing from the complete read. Unless removed here, it would still
+/// count as serving its models, although no order reaches it.
 void
 OrderDuty::OnUpstreamsRead(const StoreRange& aRange)
 {
@@ -241,7 +244,7 @@
              { "start", std::to_string(aStart.Get()) } });
   UpstreamEntry entry = std::move(aTarget.entry_);
   entry.start_ = aStart;
-  // Answers to steps of before are ignored.
+  // Replies to steps of the earlier incarnation are ignored.
   const std::uint64_t step = aTarget.step_ + 1;
   aTarget = Target{};
   aTarget.entry_ = std::move(entry);
@@ -291,7 +294,8 @@
   if (!retired_.insert(instance).second) {
     return;
   }
-  // Instances keep nothing of their own; what lasts lies in the store.
+  // Instances have no local state to save: durable state is in the store, so
+  // the retirement is confirmed at once.
   const auto [key, value] =
     host_.Formats().RetireStatus(InstanceId{ instance }, true);
   LogEvent(LogLevel::Info, "instance_retired", { { "instance", instance } });
--- a/src/programs/orderd/order_duty.hpp
+++ b/src/programs/orderd/order_duty.hpp
@@ -1,5 +1,5 @@
-/// The duty of ordering upstreams to new weight versions, for the holder of
-/// the lease.
+/// The duty of ordering new weight versions from upstreams, performed by the
+/// holder of the lease.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -13,37 +13,37 @@
 
 namespace marjoramtally {
 
-/// Pause after a failure; longer than reports lag.
+/// Pause after a failure; longer than the delay of reports.
 inline constexpr auto kOrderRetryPause = std::chrono::milliseconds(500);
-/// Most of the process's time that plans may take; the rest is for reports,
-/// orders and the lease.
+/// Maximum share of the event loop's time for planning; the rest is left for
+/// reports, orders and renewals of the lease.
 inline constexpr double kMaxPlanTimeShare = 0.125;
 
-/// Acts while the lease is held. Used on one loop.
+/// Acts while the lease is held. Confined to one event loop.
 class OrderDuty
 {
 public:
-  /// Both outlive this.
+  /// Both arguments must outlive this object.
   OrderDuty(GatewayContext& aHost, DutyLease& aLease);
 
-  /// Takes what a gateway told of its long runs and of the places it wants.
+  /// Adds a gateway's report of its long runs and of the slots that it needs.
   void OnUsage(const GatewayUsage& aUsage);
-  /// A round of questions to gateways is over.
+  /// Call at the end of each round of polling the gateways.
   void OnPollRound();
-  /// @returns the services whose upstreams may be ordered, with those that
-  /// serve; nothing before configuration and upstreams are known
+  /// @returns the services whose upstreams may be ordered, with their serving
+  /// upstreams; empty until configuration and upstreams are known
   [[nodiscard]] std::vector<SupplyView> SupplyViews() const;
 
 private:
-  /// Where an upstream's order stands.
+  /// Progress of an upstream's order.
   enum class Phase
   {
     Idle,
     Reading,
     Sending,
-    /// Accepted; its end is looked for in reports.
+    /// The order was accepted; reports are polled for its end.
     Loading,
-    /// Something failed; it is tried again after a pause.
+    /// A step failed; the order is retried after a pause.
     BackingOff,
   };
 
@@ -51,61 +51,64 @@
   {
     UpstreamEntry entry_;
     std::map<std::string, WeightVersion> versions_;
-    /// Orders that the upstream has accepted, if known for certain.
+    /// Number of orders that the upstream has accepted, if certain.
     std::optional<std::uint64_t> acceptedOrders_;
     Phase phase_ = Phase::Idle;
     PlannedLoad load_;
     TimePoint loadStartedAt_;
-    /// When the order was accepted.
+
     TimePoint acceptedAt_;
-    /// Answers to earlier steps are ignored.
+    /// Replies to earlier steps are ignored.
     std::uint64_t step_ = 0;
   };
 
-  /// Takes up an upstream's incarnation if it is newer than the one known:
-  /// the versions, orders and steps of that one are over.
-  /// @returns whether it is newer
+  /// Resets a target if its upstream has restarted: the versions, orders and
+  /// steps of the earlier incarnation no longer apply.
+  /// @returns whether the incarnation is newer than the known one
   static bool ResetIfRestarted(Target& aTarget, UpstreamStart aStart);
-  /// @returns whether a version is newer than the one known
+  /// @returns whether any version is newer than the known one
   static bool MergeModels(Target& aTarget,
                           const std::vector<ModelVersion>& aModels);
   void End();
   void Begin();
-  /// Reads which services there are and which models' texts must come from one
-  /// version, now and again.
+  /// Reads the configuration periodically: which services exist, and for which
+  /// models each text must come from a single version.
   void ReadConfig(std::uint64_t aTerm);
   void ApplyConfig(const StoreRange& aRange);
-  /// @returns whether the configuration is known and names the service
+  /// @returns whether the configuration is known and contains the service
   [[nodiscard]] bool IsConfigured(const ServiceId& aService) const
   {
     return services_ && services_->contains(aService);
   }
   void RemoveUpstream(const UpstreamId& aId);
-  /// Takes a whole reading.
+  /// Applies a complete read of all upstreams' records.
   void OnUpstreamsRead(const StoreRange& aRange);
   void OnUpstreamRecord(const StoreRecord& aRecord);
   void OnVersionRecord(const StoreRecord& aRecord);
   void OnRetirementRecord(const StoreRecord& aRecord);
-  // The steps of an order: state read, order sent, its end looked for.
+
+  /// Rereads the configuration once for each service that it does not contain,
+  /// which may have been added since it was read.
   void ReadConfigForUnknownServices();
-  /// Plans if anything that a plan is made of has changed since the last one.
-  /// Upstreams beat in their entries once a second each, and few beats change
-  /// what they hold.
+  /// Plans if any input has changed since the last plan. Each upstream updates
+  /// its entry about once a second, and few updates change an input.
   void Plan();
-  /// Something that a plan is made of has changed.
+  /// Plans because an input has changed.
   void Replan();
   void SchedulePlan(Duration aPause);
   void RecordPlanTime(std::size_t aUpstreams,
                       std::size_t aLoads,
                       Duration aTook);
   void StartLoad(const PlannedLoad& aLoad);
+  // The steps of an order: the state is read, the order is sent, and reports
+  // are polled for its end.
   void ReadState(Target& aTarget);
   void OnState(const UpstreamId& aId, const HttpResult& aResult);
   void SendOrder(Target& aTarget);
   void OnOrderReply(const UpstreamId& aId, const HttpResult& aResult);
   void ScheduleReport(Target& aTarget, Duration aPause);
   void BackOff(Target& aTarget, std::string_view aReason);
-  /// Runs a step later unless the target has moved on.
+  /// Runs a step after a pause unless another step starts earlier.
   void ScheduleStep(Target& aTarget,
                     Duration aPause,
                     void (OrderDuty::*aStep)(Target&));
@@ -121,23 +124,25 @@
   std::unique_ptr<PrefixFollower> versions_;
   std::unique_ptr<PrefixFollower> retirements_;
   WeightPlan plan_;
-  /// Models whose runs finish before a change of their version.
+  /// Models whose runs must finish before their version changes.
   std::set<std::string> singleVersion_;
-  /// Services of the configuration; none before it was read in this turn.
+  /// Services of the configuration; empty until it was read in this term.
   std::optional<std::set<ServiceId>> services_;
   /// Services whose upstreams may be ordered.
   std::map<ServiceId, UpstreamSupply> supplies_;
-  /// Long runs at upstreams: as told in the last round, and so far in this one.
+  /// Long runs at upstreams as of the last complete round, and as reported so
+  /// far in the current one.
   std::map<UpstreamId, std::uint32_t> longRuns_;
   std::map<UpstreamId, std::uint32_t> reportedLongRuns_;
-  /// Places that items want, by model, as told in this round so far.
+  /// Slots that items need, by model, as reported so far in the current round.
   std::map<std::string, std::uint64_t> reportedDemand_;
-  /// Services of upstreams for which it was read once more.
+  /// Unknown services for which the configuration was already reread.
   std::set<ServiceId> lookedUpServices_;
-  /// Counts the times that the duty began.
+  /// Incremented each time the duty begins or the configuration is reread at
+  /// once; replies of earlier terms are ignored.
   std::uint64_t term_ = 0;
   std::map<UpstreamId, Target> targets_;
-  /// What a plan is made of has changed since the last one.
+  /// Whether an input has changed since the last plan.
   bool planDue_ = true;
   TimeShareLimiter planLimiter_{ kMaxPlanTimeShare };
   LoopTimerId planTimer_ = 0;
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -9,26 +9,25 @@
 
 namespace {
 
-/// An upstream answers an order in some milliseconds; one that does not may
-/// still carry it out.
+/// An upstream normally replies to an order within a few milliseconds. After a
+/// time-out it may still carry out the order.
 constexpr auto kOrderTimeout = std::chrono::milliseconds(500);
-/// A load takes about 0.9 s; reports lag by some hundred milliseconds.
+/// A load takes about 0.9 s, and reports are a few hundred milliseconds late.
 constexpr auto kFirstCheckDelay = std::chrono::milliseconds(1050);
 constexpr auto kMinCheckInterval = std::chrono::milliseconds(100);
-/// Pauses are this part of the time that the load has taken, up to the longest.
+/// The interval is the elapsed time of the load divided by this, within the
+/// limits above and below.
 constexpr int kCheckIntervalDivisor = 10;
 constexpr auto kMaxCheckInterval = std::chrono::seconds(1);
-/// An order that is under way no more and has changed nothing was lost. Reports
-/// lag, so this is believed after this time only.
+/// An order is considered lost if it is no longer in progress and changed
+/// nothing. Reports are late, so this is decided only after this time.
 constexpr auto kLostLoadTimeout = std::chrono::seconds(5);
-/// A plan that takes this part of the lease is told of: renewals are due three
-/// times in one lease.
+/// A warning is logged if a plan takes more than the lease duration divided by
+/// this: renewals are due three times within the lease duration.
 constexpr int kSlowPlanLeaseDivisor = 10;
 
 } // namespace
 
-/// A service that the configuration does not name may have been added since it
-/// was read; so it is read once more for each such name.
 void
 OrderDuty::ReadConfigForUnknownServices()
 {
@@ -47,13 +46,13 @@
 void
 OrderDuty::Plan()
 {
-  // Without a configuration it is not known whether runs have to finish before
-  // a change, nor which upstreams are the system's: orders wait for it.
+  // Orders wait for the configuration, which determines whether runs must
+  // finish before a version change and which upstreams belong to the system.
   if (!lease_.Active() || !services_ || !planDue_) {
     return;
   }
   if (!lease_.Held()) {
-    // Nothing tells of a renewal.
+    // Renewals cause no event, so the lease is checked again later.
     SchedulePlan(kOrderRetryPause);
     return;
   }
@@ -89,7 +88,7 @@
   }
 }
 
-/// Nothing else runs while a plan is made, no renewal of the lease either.
+/// Planning blocks the event loop, including renewals of the lease.
 void
 OrderDuty::RecordPlanTime(std::size_t aUpstreams,
                           std::size_t aLoads,
@@ -187,7 +186,7 @@
 {
   Target& target = targets_.at(aId);
   if (aResult.end_ != HttpEnd::Whole || aResult.response_.status_ != 200) {
-    BackOff(target, "no report");
+    BackOff(target, "report not received");
     return;
   }
   const auto report = host_.Formats().ReadReport(aResult.response_.body_);
@@ -206,8 +205,8 @@
   const bool reached =
     target.versions_[target.load_.model_] >= target.load_.version_;
   if (target.phase_ == Phase::Loading) {
-    // One that goes on keeps its place: the store of weights is busy with it,
-    // and an order in its stead would only come on top.
+    // A load in progress still counts against the limit: it keeps the weight
+    // store busy, and another order would only add to the load there.
     const bool lost = !report.value().busy_ &&
                       host_.Now() - target.loadStartedAt_ > kLostLoadTimeout;
     if (reached || lost) {
@@ -243,7 +242,7 @@
     target.phase_ = Phase::Idle;
     Replan();
   } else if (report.value().busy_) {
-    BackOff(target, "another order is under way");
+    BackOff(target, "another order is in progress");
   } else {
     SendOrder(target);
   }
@@ -299,13 +298,13 @@
       ScheduleReport(target, kFirstCheckDelay);
       return;
     case 200:
-      // No id tells whether this is the order's own answer or a late second
-      // one to the report before; believed, it would end all orders of this
-      // version to an upstream that lacks it. The next report tells.
-      BackOff(target, "the order is said to hold already");
+      // Without an id this reply cannot be told from a late duplicate reply to
+      // the preceding report. Trusting it could leave the upstream without this
+      // version for good, so the next report decides.
+      BackOff(target, "unconfirmed reply that the version is already loaded");
       return;
     case 412:
-      // Another process has given orders under a higher number.
+      // Another process has sent orders under a higher fencing number.
       lease_.OnFenced();
       return;
     case 421:
@@ -313,7 +312,7 @@
       Replan();
       return;
     default:
-      BackOff(target, status == 0 ? "no answer" : "refused");
+      BackOff(target, status == 0 ? "no reply" : "refused");
       return;
   }
 }
--- a/src/programs/orderd/supply_duty.cpp
+++ b/src/programs/orderd/supply_duty.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Followed by service, zone and kind, with a slash between them.
+/// Followed by `SERVICE/ZONE/KIND`.
 constexpr std::string_view kOrderedPrefix = "mt/supply/";
 constexpr auto kStoreRetryPause = std::chrono::milliseconds(700);
 constexpr auto kOrderTimeout = std::chrono::milliseconds(1500);
@@ -165,7 +165,7 @@
       if (aEnd && aEnd.value().applied_) {
         SendOrder(aOrder);
       } else {
-        EndOrder(aOrder, SupplyEnd::Unavailable, "not noted in the store");
+        EndOrder(aOrder, SupplyEnd::Unavailable, "not recorded in the store");
       }
     });
 }
@@ -199,8 +199,8 @@
 {
   const int status =
     aResult.end_ == HttpEnd::Whole ? aResult.response_.status_ : 0;
-  // 409 stands both for none to be had and for a higher number; a holder that
-  // was replaced finds its lease lost.
+  // 409 means either that no upstreams are available or that a higher fencing
+  // number was seen. A replaced holder learns of that by losing its lease.
   const bool refused = status == 409 || status == 429 || status == 503;
   EndOrder(aOrder,
            status == 200 ? SupplyEnd::Accepted
--- a/src/programs/orderd/supply_duty.hpp
+++ b/src/programs/orderd/supply_duty.hpp
@@ -1,5 +1,5 @@
-/// The duty of ordering upstreams from the platform, for the holder of the
-/// lease.
+/// The duty of ordering upstreams from the platform, performed by the holder of
+/// the lease.
 #pragma once
 
 #include "marjoramtally/process/supply_plan.hpp"
@@ -8,17 +8,17 @@
 
 namespace marjoramtally {
 
-/// Acts while the lease is held. Used on one loop.
+/// Acts while the lease is held. Confined to one event loop.
 class SupplyDuty
 {
 public:
-  /// All arguments outlive this.
+  /// All arguments must outlive this object.
   SupplyDuty(GatewayContext& aHost,
              DutyLease& aLease,
              const OrderDuty& aOrders);
 
   void OnUsage(const GatewayUsage& aUsage);
-  /// A round of questions is over: orders what is due.
+  /// Orders what is due. Call at the end of each polling round.
   void Advance();
 
 private:
@@ -26,7 +26,7 @@
   void End();
   void ReadOrdered(std::uint64_t aTerm);
   void OnOrderedRead(const StoreRange& aRange);
-  /// Notes an order in the store, then sends it.
+  /// Records an order in the store, then sends it.
   void RecordOrder(const PlannedSupply& aOrder);
   void SendOrder(const PlannedSupply& aOrder);
   void OnReply(const PlannedSupply& aOrder, const HttpResult& aResult);
@@ -42,9 +42,9 @@
   DutyLease& lease_;
   const OrderDuty& orders_;
   SupplyPlan plan_;
-  /// Places wanted, summed over the answers of a round.
+  /// Slots needed by service, summed over the replies of a round.
   std::map<ServiceId, std::uint64_t> reportedDemand_;
-  /// What earlier holders ordered is known.
+  /// Whether the orders of earlier holders have been read.
   bool restored_ = false;
   std::uint64_t term_ = 0;
 };
--- a/src/programs/orderd/usage_duty.cpp
+++ b/src/programs/orderd/usage_duty.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kWindowPrefix = "mt/usage/";
 constexpr auto kStoreRetryPause = std::chrono::milliseconds(700);
-/// A report that has no answer by then may still be carried out.
+/// After a time-out the platform may still accept the report.
 constexpr auto kReportTimeout = std::chrono::milliseconds(1500);
 
 std::string
@@ -96,12 +96,14 @@
     if (window && read) {
       settled.emplace(*window, std::move(read).value());
     } else {
-      // It stands for its window all the same: nothing is settled there again.
+      // The record remains and its window is not settled again: settling
+      // requires that the window has no record.
       LogEvent(
         LogLevel::Error,
         "record_unreadable",
         { { "key", record.key_ },
-          { "error", read ? "no window's number" : read.error().message_ } });
+          { "error",
+            read ? "invalid window number in key" : read.error().message_ } });
     }
   }
   if (settled.empty()) {
@@ -113,8 +115,8 @@
   Advance();
 }
 
-/// The window before the first one counts as sent. A holder that ended before
-/// it settled a window would else leave no trace of those it was to report.
+/// Records the window before the first one as sent. Otherwise a holder that
+/// ends before it settles a window would leave no record of where to begin.
 void
 UsageDuty::WriteFirstWindow()
 {
@@ -154,8 +156,8 @@
   }
 }
 
-/// The write also notes which earlier windows were sent and drops old ones, so
-/// that a window costs one write in all.
+/// The same write marks the previous window as sent and deletes obsolete ones,
+/// so that each window takes one write.
 void
 UsageDuty::Settle(UsageWindow aWindow)
 {
@@ -190,7 +192,8 @@
                      const Result<StoreCommit>& aEnd)
 {
   if (!aEnd || !aEnd.value().applied_) {
-    // A write without an answer may have been made, or an earlier one.
+    // This write may have been applied without a reply, or an earlier one may
+    // have settled the window.
     ReadBack(aWindow);
     return;
   }
@@ -288,7 +291,7 @@
   } else if (status == 409) {
     lease_.OnFenced();
   }
-  // Whatever else came, the next round sends the same again.
+  // On any other status the next round sends the same report again.
 }
 
 } // namespace marjoramtally
--- a/src/programs/orderd/usage_duty.hpp
+++ b/src/programs/orderd/usage_duty.hpp
@@ -1,4 +1,5 @@
-/// The duty of reporting what customers used, for the holder of the lease.
+/// The duty of reporting customers' usage, performed by the holder of the
+/// lease.
 #pragma once
 
 #include "marjoramtally/process/usage_ledger.hpp"
@@ -6,18 +7,18 @@
 
 namespace marjoramtally {
 
-/// Acts while the lease is held. Used on one loop.
+/// Acts while the lease is held. Confined to one event loop.
 class UsageDuty
 {
 public:
-  /// All arguments outlive this.
+  /// All arguments must outlive this object.
   UsageDuty(GatewayContext& aHost, DutyLease& aLease, GatewayPoll& aPoll);
 
   void OnUsage(const GatewayUsage& aUsage, TrueTime aRequestedAt)
   {
     ledger_.OnUsage(aUsage, aRequestedAt);
   }
-  /// Settles and sends what is due.
+  /// Settles and sends the windows that are due.
   void Advance();
   [[nodiscard]] const UsageLedger& Ledger() const noexcept { return ledger_; }
 
@@ -26,14 +27,15 @@
   void End();
   void ReadSettled(std::uint64_t aTerm);
   void OnSettledRead(const StoreRange& aRange);
-  /// Notes where the bill begins, so that a later holder begins there too.
+  /// Records the first window to report, so that a later holder begins with it
+  /// too.
   void WriteFirstWindow();
   /// Makes a window's counts final.
   void Settle(UsageWindow aWindow);
   void OnSettled(UsageWindow aWindow,
                  SettledWindow aSettled,
                  const Result<StoreCommit>& aEnd);
-  /// Finds out which counts of a window are final.
+  /// Reads the final counts of a window from the store.
   void ReadBack(UsageWindow aWindow);
   void SendNext();
   void OnReportReply(UsageWindow aWindow, const HttpResult& aResult);
@@ -46,9 +48,9 @@
   DutyLease& lease_;
   GatewayPoll& poll_;
   UsageLedger ledger_;
-  /// Counts the times that the duty began or ended.
+  /// Incremented each time the duty begins or ends.
   std::uint64_t term_ = 0;
-  /// What earlier holders settled is known.
+  /// Whether the windows settled by earlier holders have been read.
   bool restored_ = false;
   bool settling_ = false;
   bool sending_ = false;
