--- a/tests/order_fixture.hpp
+++ b/tests/order_fixture.hpp
@@ -1,4 +1,5 @@
-/// The duties of an order daemon under their lease, on fakes.
+/// The duty of ordering weight versions together with its lease, for tests on
+/// fakes.
 #pragma once
 
 #include "gateway_fixture.hpp"
--- a/tests/test_order_duty.cpp
+++ b/tests/test_order_duty.cpp
@@ -1,4 +1,4 @@
-/// The duty of ordering weight versions, on fakes.
+/// Tests of the duty of ordering weight versions, on fakes.
 
 #include "order_fixture.hpp"
 
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// A configuration whose only service is that of the upstreams here.
+/// A configuration whose only service is that of the upstreams below.
 constexpr const char* kConfig =
   R"({"version":1,"routes":[{"host":"h","prefix":"/j/","kind":"rollout",)"
   R"("service":"lm"}],"services":[{"name":"lm"}]})";
 
 } // namespace
 
-TEST_CASE("a holder whose lease came late orders once it is renewed")
+TEST_CASE("a holder whose lease was granted late sends orders after a renewal")
 {
   GatewayFakes fakes;
   fakes.settings_.fencing_ = true;
@@ -28,7 +28,7 @@
                    "models":[{"name":"m","version":1}]})");
   fakes.store_.Put("op/version/m", R"({"model":"m","version":2})");
   LeasedOrderDuty duty(fakes.context_);
-  // Grant and write together take nearly all of the lease.
+  // Grant and write together take nearly the whole lease duration.
   fakes.store_.delay_ = 700ms;
   duty.Start();
   fakes.timers_.Advance(1410ms);
@@ -38,7 +38,7 @@
   REQUIRE(fakes.client_.sent_ > 0);
 }
 
-TEST_CASE("runs of a model whose texts need one version finish before a change")
+TEST_CASE("runs of a single-version model finish before a version change")
 {
   const bool single = GENERATE(true, false);
   GatewayFakes fakes;
@@ -70,7 +70,7 @@
 
 namespace {
 
-/// A holder of the duty with one upstream and a version that it lacks.
+/// A holder of the duty with one upstream that lacks the announced version.
 struct DutyFixture : GatewayFakes
 {
   LeasedOrderDuty duty_{ context_ };
@@ -126,18 +126,20 @@
 
 } // namespace
 
-TEST_CASE("an upstream that starts again is ordered anew by its own count")
+TEST_CASE(
+  "a restarted upstream receives the order again with its own order count")
 {
   DutyFixture fix;
   fix.AnswerReport(1000, 4);
   fix.AcceptOrder("4");
-  // It starts again while the order is under way; its entry tells so.
+  // The upstream restarts while the order is in progress, and its entry shows
+  // this.
   fix.Register(2000);
   fix.AnswerReport(2000, 0);
   fix.AcceptOrder("0");
 }
 
-TEST_CASE("a report tells of a restart before the entry does")
+TEST_CASE("a report shows a restart before the entry does")
 {
   DutyFixture fix;
   fix.AnswerReport(1000, 4);
@@ -146,16 +148,16 @@
   fix.AnswerReport(2000, 0);
   fix.AnswerReport(2000, 0);
   fix.AcceptOrder("0");
-  // The entry of the incarnation before comes late and changes nothing.
+  // A late entry of the earlier incarnation changes nothing.
   fix.Register(1000, "draining");
   fix.timers_.Advance(1100ms);
   REQUIRE(fix.OldestPath() == "http://e:1/report");
 }
 
-// An order bears no id that its answer could name, and a second answer to the
-// report before it would come on the same connection: a 200 that is not the
-// order's own would leave the upstream on its old version for good.
-TEST_CASE("an order that is said to hold is believed once a report says so")
+// Orders have no id that a reply could refer to, and a duplicate reply to the
+// preceding report arrives on the same connection. Accepting such a 200 as the
+// order's own reply would leave the upstream on its old version for good.
+TEST_CASE("a 200 reply to an order counts only once a report confirms it")
 {
   DutyFixture fix;
   fix.AnswerReport(1000, 4);
@@ -166,10 +168,11 @@
   fix.AcceptOrder("4");
 }
 
-// The store of weights was so busy that loads took over 5 s. The upstream was
-// ordered anew then, and another one in its place, so that more and more loads
-// were under way and none of them ended.
-TEST_CASE("a load that takes long keeps its place until it ends")
+// Guards against an overload of the weight store: when it was so busy that
+// loads took over 5 s, the upstream received the order again and another
+// upstream was given one too, so that more and more loads ran and none of them
+// ended.
+TEST_CASE("a slow load counts against the limit until it ends")
 {
   DutyFixture fix;
   fix.AnswerReport(1000, 4);
@@ -181,7 +184,7 @@
   }
 }
 
-TEST_CASE("an order that was lost is sent again")
+TEST_CASE("a lost order is sent again")
 {
   DutyFixture fix;
   fix.AnswerReport(1000, 4);
@@ -193,7 +196,7 @@
   fix.AcceptOrder("4");
 }
 
-TEST_CASE("orders go to no upstream that another writer registered")
+TEST_CASE("upstreams of services outside the configuration get no orders")
 {
   GatewayFakes fakes;
   fakes.settings_.fencing_ = true;
@@ -211,7 +214,7 @@
   duty.Start();
   fakes.timers_.Advance(3s);
   REQUIRE(fakes.client_.sent_ == 0);
-  // A service that a later configuration names is served.
+  // A later configuration adds the service.
   fakes.store_.Put("op/config",
                    R"({"version":2,"routes":[],"services":[{"name":"lm"},)"
                    R"({"name":"other"}]})");
@@ -221,7 +224,7 @@
 
 namespace {
 
-/// Upstreams that check no fencing numbers; the instance is `self`.
+/// Upstreams that do not check fencing numbers; this instance is `self`.
 struct UnfencedFixture : GatewayFakes
 {
   UnfencedFixture()
@@ -238,11 +241,11 @@
 
 } // namespace
 
-TEST_CASE("the instance that gave the last orders goes on without a pause")
+TEST_CASE("the instance that sent the last orders continues without a pause")
 {
   UnfencedFixture fix;
   fix.store_.Put("mt/duty/orders-last", "self");
-  // Its run before was killed and its lease has not lapsed.
+  // Its earlier run was killed and that run's lease has not expired.
   fix.store_.Put("mt/duty/orders", "self~0");
   LeasedOrderDuty duty(fix.context_);
   duty.Start();
@@ -250,8 +253,7 @@
   REQUIRE(fix.client_.sent_ == 1);
 }
 
-TEST_CASE(
-  "another instance lets the last holder come back, then waits its turn")
+TEST_CASE("another instance gives the last holder a head start, then waits")
 {
   UnfencedFixture fix;
   fix.store_.Put("mt/duty/orders-last", "other");
@@ -268,7 +270,7 @@
   REQUIRE(fix.store_.records_.at("mt/duty/orders-last").value_ == "self");
 }
 
-TEST_CASE("a holder that gave no order before it died waits its turn again")
+TEST_CASE("a holder that sent no order before it died waits again")
 {
   UnfencedFixture fix;
   fix.store_.Put("mt/duty/orders-last", "other");
@@ -283,7 +285,7 @@
 
 namespace {
 
-/// A holder that has an order to give; the test says what it reads of the
+/// A holder with an order to send; the test decides when it can read which
 /// configuration.
 struct UnreadConfigFixture : GatewayFakes
 {
@@ -308,7 +310,8 @@
         R"(}],"services":[{"name":"lm","engine":{"models":[{"name":"m"}]}}]})");
   }
 
-  /// Answers a report, then @returns the order.
+  /// Replies to the request for a report.
+  /// @returns the body of the order that follows
   std::string Order()
   {
     REQUIRE(client_.open_.size() == 1);
@@ -322,16 +325,15 @@
 
 } // namespace
 
-// A trainer that asked for texts of one version each read texts of two. The
-// order: a process began to give orders, read upstreams and named versions at
-// once, and the configuration only later, since the store gave it late or not
-// in a form that could be read; it ordered a new version with the runs going
-// on. Cause: a process that had read no configuration took all models for ones
-// whose texts may change their version.
-TEST_CASE("no order goes out before the configuration was read")
+// Guards against texts that mix two versions although their trainer requires a
+// single one. It happened when a new holder read upstreams and announced
+// versions before the configuration, which the store returned late or
+// unreadable: the holder took all models for ones whose runs may continue
+// across a version change.
+TEST_CASE("no order is sent before the configuration has been read")
 {
   UnreadConfigFixture fix;
-  SECTION("it is not there yet") {}
+  SECTION("it does not exist yet") {}
   SECTION("it cannot be read")
   {
     fix.store_.Put("op/config", "no config");
@@ -340,23 +342,22 @@
   fix.timers_.Advance(3s);
   REQUIRE(fix.client_.sent_ == 0);
   fix.PutConfig(true);
-  // It is looked for often as long as orders wait for it.
+  // It is read at short intervals while orders wait for it.
   fix.timers_.Advance(600ms);
   REQUIRE(fix.Order().find(R"("mode":"block")") != std::string::npos);
 }
 
-// The same, of a process that gave orders before: it lost the duty for a
-// while, in which a route came to want one version for each text, and went on
-// by the configuration that it had read in its last turn. Cause: what was read
-// under an earlier turn counted as the present.
-TEST_CASE("a holder that begins anew reads the configuration anew")
+// Guards against the same failure in a process that was the holder before. It
+// lost the duty, a route was changed to require a single version meanwhile, and
+// the process then continued with the configuration from its earlier term.
+TEST_CASE("a holder that regains the duty reads the configuration again")
 {
   UnreadConfigFixture fix;
   fix.PutConfig(false);
   fix.duty_.Start();
   fix.timers_.Advance(100ms);
   REQUIRE(fix.Order().find(R"("mode":"continue")") != std::string::npos);
-  // Another process has the duty meanwhile.
+  // Another process holds the duty meanwhile.
   fix.client_.Answer(fix.client_.Oldest(), HttpResponse{ 412, {}, {} });
   fix.timers_.Advance(1s);
   REQUIRE(fix.client_.open_.empty());
@@ -368,12 +369,12 @@
   REQUIRE(fix.Order().find(R"("mode":"block")") != std::string::npos);
 }
 
-// New weights reached fewer upstreams than there were, for the rest of the day.
-// The order: the store dropped its history, and before the watch of upstreams
-// was opened anew one of them had left; the new reading did not hold it, yet it
-// was still a home of its model and was asked for its state over and over.
-// Cause: of a whole reading only what it holds was taken, not what it lacks.
-TEST_CASE("an upstream that is missing from a whole reading gets no orders")
+// Guards against new weights no longer reaching all upstreams. The store
+// compacted its history, and an upstream left before its watch was reopened.
+// The complete read did not contain that upstream, but only its records were
+// applied and missing ones were not removed, so the upstream still counted as
+// serving its model and was asked for its state repeatedly.
+TEST_CASE("an upstream that is missing from a complete read gets no orders")
 {
   DutyFixture fix;
   REQUIRE(fix.OldestPath() == "http://e:1/report");
@@ -392,7 +393,8 @@
 
 namespace {
 
-/// A holder of the duty with many upstreams that all hold the version named.
+/// A holder of the duty with many upstreams that all have the announced
+/// version.
 struct FleetFixture : GatewayFakes
 {
   LeasedOrderDuty duty_{ context_ };
@@ -409,7 +411,7 @@
     timers_.Advance(100ms);
   }
 
-  /// What an upstream writes of itself about once a second.
+  /// Writes the entry that an upstream updates about once a second.
   void WriteHeartbeat(int aUpstream, int aCount, int aVersion = 2)
   {
     store_.Put("servers/i-" + std::to_string(aUpstream),
@@ -432,9 +434,10 @@
 
 } // namespace
 
-// The same failure: the holder planned anew for each answer of its watch, and
-// as 3,001 upstreams beat there, it did nothing else.
-TEST_CASE("beats that change nothing are not planned for")
+// Guards against a holder that is busy with planning alone: it planned for each
+// batch of watch events, which 3,001 upstreams cause continuously with their
+// heartbeats.
+TEST_CASE("heartbeats that change nothing cause no plan")
 {
   FleetFixture fix;
   const int before = fix.PlanCount();
@@ -445,13 +448,13 @@
     }
   }
   REQUIRE(fix.PlanCount() == before);
-  SECTION("an upstream falls behind the version named")
+  SECTION("an upstream falls behind the announced version")
   {
     fix.store_.Put("op/version/m", R"({"model":"m","version":3})");
     REQUIRE(fix.PlanCount() == before + 1);
     REQUIRE(fix.client_.sent_ > 0);
   }
-  SECTION("an upstream tells a newer version")
+  SECTION("an upstream reports a newer version")
   {
     fix.WriteHeartbeat(7, 5, 3);
     REQUIRE(fix.PlanCount() == before + 1);
@@ -468,10 +471,10 @@
   }
 }
 
-// A version that was named while a renewal of the lease was late waited for the
-// next word from any upstream; those that have nothing to tell may be silent
-// for long.
-TEST_CASE("a change is planned for once the lease is renewed")
+// Guards against a delayed order: a version announced while a renewal of the
+// lease was late was planned for only at the next event from any upstream,
+// which may take long.
+TEST_CASE("a change is planned for as soon as the lease is renewed")
 {
   FleetFixture fix;
   const int before = fix.PlanCount();
--- a/tests/test_order_faults.cpp
+++ b/tests/test_order_faults.cpp
@@ -5,7 +5,7 @@
 using namespace marjoramtally;
 using namespace marjoramtally::test;
 
-TEST_CASE("an owner paused past its lease sends nothing it had decided on")
+TEST_CASE("an owner paused beyond its lease sends no order decided before")
 {
   FakeEngine engine;
   engine.checks_ = false;
@@ -14,7 +14,8 @@
   old.Want(1);
   old.Run(3s);
   REQUIRE(engine.Served() == 1);
-  // It decides to load version 2, is paused, and the next owner goes to 3.
+  // The owner decides to load version 2 and is paused; the next owner switches
+  // to version 3.
   old.Want(2);
   old.rollout_.OnLease(old.now_ + 10s);
   std::optional<RolloutAction> decided;
@@ -41,7 +42,7 @@
   CHECK(engine.Served() == 3);
 }
 
-TEST_CASE("a new owner waits out the last one's orders, then reads back")
+TEST_CASE("a new owner waits until earlier orders expire, then reads the state")
 {
   FakeEngine engine;
   engine.checks_ = false;
@@ -50,13 +51,13 @@
   next.Want(3);
   next.Run(950ms);
   CHECK(engine.state_.loaded_.empty());
-  // The last owner's order arrives at the end of its bound.
+  // The previous owner's order arrives at the end of its time limit.
   engine.state_.served_["m"] = WeightVersion{ 2 };
   next.Run(2s);
   CHECK(engine.Served() == 3);
 }
 
-TEST_CASE("an upstream that checks numbers refuses the old of two owners")
+TEST_CASE("an upstream that checks fencing numbers refuses the earlier owner")
 {
   FakeEngine engine;
   engine.state_.served_["m"] = WeightVersion{ 3 };
@@ -64,7 +65,7 @@
   next.Own(kEngine, engine, 2);
   next.Want(3);
   next.Run(1s);
-  // Nothing had to change, yet the engine has seen the new number.
+  // No version had to change, but the engine has seen the new fencing number.
   CHECK(engine.seen_ == 2);
   Owner old;
   old.Own(kEngine, engine, 1);
@@ -74,7 +75,7 @@
   CHECK(engine.state_.loaded_.empty());
 }
 
-TEST_CASE("an order whose answer was lost may arrive late and is made good")
+TEST_CASE("a late order whose reply was lost is corrected")
 {
   const bool checks = GENERATE(true, false);
   FakeEngine engine;
@@ -94,7 +95,8 @@
   owner.Want(2);
   owner.Run(200ms);
   REQUIRE(delayed.has_value());
-  // The trainer goes on to 3; the order for 2 arrives within its bound.
+  // The trainer moves on to version 3; the order for version 2 arrives within
+  // its time limit.
   owner.Want(3);
   owner.Run(700ms);
   CHECK(engine.Served() == 1);
@@ -103,7 +105,7 @@
   CHECK(engine.Served() == 3);
 }
 
-TEST_CASE("an owner's lost lease while its answer is lost and a swap fails")
+TEST_CASE("an owner loses its lease and a reply, the next owner's switch fails")
 {
   FakeEngine engine;
   engine.checks_ = false;
@@ -137,7 +139,7 @@
   CHECK(engine.Served() == 3);
 }
 
-TEST_CASE("with the store down the weight store down and an engine crashed")
+TEST_CASE("store and weight store are down and an engine crashed")
 {
   FakeEngine engine;
   Owner owner;
@@ -158,10 +160,10 @@
   CHECK_FALSE(owner.Noticed(RolloutNoticeKind::LeftBehind));
   weightsDown = false;
   owner.Run(5s, false);
-  // An upstream that checks numbers is repaired without the store, as it
-  // takes nobody out of service.
+  // An upstream that checks fencing numbers is repaired without the store,
+  // because this takes no serving upstream out of rotation.
   CHECK(engine.Served() == 4);
-  // But without a lease nothing that answers is switched.
+  // Without a lease, a serving upstream is not switched.
   owner.Want(5);
   owner.Run(10s, false);
   CHECK(engine.Served() == 4);
--- a/tests/test_supply.cpp
+++ b/tests/test_supply.cpp
@@ -1,4 +1,5 @@
-/// How many upstreams are ordered, played against a platform that boots them.
+/// Tests of how many upstreams are ordered, some against a simulated platform
+/// that boots them.
 
 #include "order_fixture.hpp"
 #include "programs/orderd/supply_duty.hpp"
@@ -11,7 +12,7 @@
 
 namespace {
 
-const ServiceId kModel{ "lm" };
+const ServiceId kService{ "lm" };
 const ZoneId kZone1{ "z1" };
 const ZoneId kZone2{ "z2" };
 
@@ -19,17 +20,17 @@
 MakeView(std::uint32_t aOne, std::uint32_t aTwo)
 {
   SupplyView view;
-  view.service_ = kModel;
+  view.service_ = kService;
   view.supply_ = { 1, 10, 4s, { { kZone1, 1.2 }, { kZone2, 0.8 } }, 0.2 };
   view.slots_ = 6;
   view.serving_ = { { kZone1, aOne }, { kZone2, aTwo } };
   return view;
 }
 
-/// What the plan does first, when it has seen these upstreams for a while.
+/// Time at which a plan has observed its upstreams long enough to order.
 constexpr TimePoint kStart{ 100s };
 
-/// A plan that knows how many upstreams were there at first.
+/// @returns a plan that has observed the initial number of upstreams
 SupplyPlan
 ObservedPlan(const SupplyView& aView, SupplyPolicy aPolicy = {})
 {
@@ -50,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("before any demand more upstreams are held than were there")
+TEST_CASE("before any demand more upstreams are ordered than were serving")
 {
   SupplyPlan plan = ObservedPlan(MakeView(3, 2));
   const auto orders = Counts(plan.Next(MakeView(3, 2), kStart));
@@ -58,14 +59,15 @@
           std::map<ZoneId, std::uint32_t>{ { kZone1, 5 }, { kZone2, 5 } });
 }
 
-// Upstreams registered one after the other at a start; an order for twice as
-// many as had registered took most of the others away.
-TEST_CASE("nothing is ordered before the upstreams of a start have registered")
+// Guards against an order based on a partial count: upstreams register one
+// after the other at startup, and an order for twice as many as had registered
+// so far removed most of the others.
+TEST_CASE("nothing is ordered until the upstreams have registered at startup")
 {
   SupplyPlan plan;
   TimePoint now = kStart;
   for (std::uint32_t count = 0; count < 5; ++count) {
-    plan.OnDemand(kModel, 1000, now);
+    plan.OnDemand(kService, 1000, now);
     REQUIRE(plan.Next(MakeView(count, count), now).empty());
     now = now + 1s;
   }
@@ -73,11 +75,11 @@
   REQUIRE(plan.Next(MakeView(4, 4), now + 2s).size() == 2);
 }
 
-TEST_CASE("a burst of items raises the order at once, within the bounds")
+TEST_CASE("a burst of items raises the order at once, within the limits")
 {
   SupplyPlan plan = ObservedPlan(MakeView(3, 3));
-  plan.OnDemand(kModel, 60, kStart + 1s);
-  // 60 places and a quarter more are 12.5 upstreams of six places.
+  plan.OnDemand(kService, 60, kStart + 1s);
+  // 60 slots and a quarter more are 12.5 upstreams of six slots each.
   const auto orders = plan.Next(MakeView(3, 3), kStart + 1s);
   REQUIRE(Counts(orders) ==
           std::map<ZoneId, std::uint32_t>{ { kZone1, 6 }, { kZone2, 7 } });
@@ -85,41 +87,41 @@
     plan.OnEnd(order, SupplyEnd::Accepted, kStart + 1s);
   }
   REQUIRE(plan.Next(MakeView(3, 3), kStart + 2s).empty());
-  plan.OnDemand(kModel, 1000, kStart + 3s);
+  plan.OnDemand(kService, 1000, kStart + 3s);
   REQUIRE(Counts(plan.Next(MakeView(6, 7), kStart + 3s)) ==
           std::map<ZoneId, std::uint32_t>{ { kZone1, 10 }, { kZone2, 10 } });
 }
 
-TEST_CASE("less is ordered only after less was wanted for long")
+TEST_CASE("an order is reduced only after a long time of lower demand")
 {
   SupplyPlan plan = ObservedPlan(MakeView(6, 7));
-  plan.OnDemand(kModel, 60, kStart);
+  plan.OnDemand(kService, 60, kStart);
   for (const PlannedSupply& order : plan.Next(MakeView(6, 7), kStart)) {
     plan.OnEnd(order, SupplyEnd::Accepted, kStart);
   }
   TimePoint now = kStart;
   while (now < kStart + 89s) {
     now = now + 1s;
-    plan.OnDemand(kModel, 12, now);
+    plan.OnDemand(kService, 12, now);
     REQUIRE(plan.Next(MakeView(6, 7), now).empty());
   }
   now = now + 4s;
-  plan.OnDemand(kModel, 12, now);
+  plan.OnDemand(kService, 12, now);
   REQUIRE(Counts(plan.Next(MakeView(6, 7), now)) ==
           std::map<ZoneId, std::uint32_t>{ { kZone1, 1 }, { kZone2, 2 } });
 }
 
-TEST_CASE("a zone that has none to give is passed over for a while")
+TEST_CASE("a zone without available upstreams is skipped for a while")
 {
   SupplyPlan plan = ObservedPlan(MakeView(3, 3));
-  plan.OnDemand(kModel, 60, kStart);
+  plan.OnDemand(kService, 60, kStart);
   for (const PlannedSupply& order : plan.Next(MakeView(3, 3), kStart)) {
     plan.OnEnd(order,
                order.pool_.zone_ == kZone1 ? SupplyEnd::Unavailable
                                            : SupplyEnd::Accepted,
                kStart);
   }
-  // What the first zone lacks is ordered in the second.
+  // The shortfall of the first zone is ordered in the second.
   const auto elsewhere = plan.Next(MakeView(3, 7), kStart + 1s);
   REQUIRE(Counts(elsewhere) ==
           std::map<ZoneId, std::uint32_t>{ { kZone2, 10 } });
@@ -129,12 +131,12 @@
           std::map<ZoneId, std::uint32_t>{ { kZone1, 6 } });
 }
 
-// The first order gets no answer and is carried out 12 s later, after a second
-// one for more.
-TEST_CASE("an order is repeated once an older one can have no effect any more")
+// Guards against a late order that overrides a newer one: the first order gets
+// no reply and is carried out 12 s later, after a second one for more.
+TEST_CASE("an order is repeated once an older one can no longer take effect")
 {
   SupplyPlan plan = ObservedPlan(MakeView(3, 7));
-  plan.OnDemand(kModel, 60, kStart);
+  plan.OnDemand(kService, 60, kStart);
   for (const PlannedSupply& order : plan.Next(MakeView(3, 7), kStart)) {
     plan.OnEnd(order, SupplyEnd::Unknown, kStart);
   }
@@ -152,10 +154,11 @@
   REQUIRE(plan.Next(MakeView(6, 7), kStart + 14s).empty());
 }
 
-TEST_CASE("upstreams that did not come are ordered again after their boot")
+TEST_CASE(
+  "upstreams that do not register are ordered again after the boot time")
 {
   SupplyPlan plan = ObservedPlan(MakeView(3, 7));
-  plan.OnDemand(kModel, 60, kStart);
+  plan.OnDemand(kService, 60, kStart);
   for (const PlannedSupply& order : plan.Next(MakeView(3, 7), kStart)) {
     plan.OnEnd(order, SupplyEnd::Accepted, kStart);
   }
@@ -166,12 +169,12 @@
   REQUIRE(again.front().reason_ == "fewer serve than were ordered");
 }
 
-TEST_CASE("a later holder does not order less than its predecessor did")
+TEST_CASE("a later holder does not order less than its predecessor")
 {
   SupplyPlan plan;
-  plan.OnRestored({ kModel, kZone1, false }, 9);
-  plan.OnRestored({ kModel, kZone2, false }, 9);
-  plan.OnDemand(kModel, 30, kStart);
+  plan.OnRestored({ kService, kZone1, false }, 9);
+  plan.OnRestored({ kService, kZone2, false }, 9);
+  plan.OnDemand(kService, 30, kStart);
   REQUIRE(plan.Next(MakeView(3, 3), kStart).empty());
 }
 
@@ -180,7 +183,7 @@
   SupplyPolicy policy;
   policy.spotShare_ = 0.5;
   SupplyPlan plan = ObservedPlan(MakeView(4, 2), policy);
-  plan.OnDemand(kModel, 1000, kStart);
+  plan.OnDemand(kService, 1000, kStart);
   std::map<std::pair<ZoneId, bool>, std::uint32_t> counts;
   for (const PlannedSupply& order : plan.Next(MakeView(4, 2), kStart)) {
     counts[{ order.pool_.zone_, order.pool_.spot_ }] = order.count_;
@@ -193,8 +196,9 @@
 
 namespace {
 
-/// Steps of a trainer: a burst of items each four seconds, each item needs a
-/// place for some time. The platform boots what is ordered.
+/// Simulates the steps of a trainer: a burst of items every four seconds, each
+/// of which occupies a slot for some time. The platform boots ordered
+/// upstreams.
 struct StepSimulation
 {
   SupplyPlan plan_;
@@ -222,7 +226,7 @@
         booting_.pop_front();
       }
       running.erase(running.begin(), running.upper_bound(now));
-      // The first step begins 10 s after the system.
+      // The first step begins 10 s after the simulation starts.
       if (tenth >= 100 && tenth % 40 == 20) {
         waiting.insert(waiting.end(), kItems, now);
       }
@@ -241,7 +245,7 @@
   void Plan(TimePoint aNow, std::uint64_t aPlaces)
   {
     if (aPlaces > 0) {
-      plan_.OnDemand(kModel, aPlaces, aNow);
+      plan_.OnDemand(kService, aPlaces, aNow);
     }
     SupplyView view = MakeView(0, 0);
     view.supply_.max_ = 30;
@@ -262,10 +266,10 @@
 
 } // namespace
 
-// Items that find a place at once, of three ways to order: what is there
-// (0.06), by use of the last moment (0.90), and by the bursts of the last while
-// (0.97).
-TEST_CASE("steps that begin together find places when bursts are remembered")
+// Compares three policies by the share of items that find a slot at once: no
+// additional upstreams (0.06), orders by current use (0.90), and orders by the
+// bursts within the demand window (0.97).
+TEST_CASE("steps that begin together find slots when recent bursts count")
 {
   SupplyPolicy none;
   none.initialFactor_ = 1.0;
@@ -287,7 +291,8 @@
   CHECK(byUse.ImmediateShare() > standing.ImmediateShare());
   CHECK(byBursts.ImmediateShare() >= 0.9);
   CHECK(standing.orders_ == 0);
-  // No thrashing: the number changes with the first demand and then stays.
+  // No thrashing: the number changes with the first demand and then stays
+  // constant.
   CHECK(byBursts.orders_ <= 3);
 }
 
@@ -323,7 +328,7 @@
   void Round(std::uint64_t aPlaces)
   {
     GatewayUsage usage;
-    usage.demand_[kModel] = aPlaces;
+    usage.demand_[kService] = aPlaces;
     duty_->OnUsage(usage);
     duty_->Advance();
     timers_.Advance(20ms);
@@ -332,7 +337,7 @@
 
 } // namespace
 
-TEST_CASE("an order is noted in the store before it is sent, under the fence")
+TEST_CASE("an order is recorded in the store before it is sent, with its fence")
 {
   SupplyFixture fix;
   fix.store_.delay_ = 50ms;
@@ -358,7 +363,7 @@
   REQUIRE(fix.client_.open_.empty());
 }
 
-TEST_CASE("a later holder knows what was ordered before it")
+TEST_CASE("a later holder does not repeat the orders of an earlier one")
 {
   SupplyFixture fix;
   fix.Round(30);
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -1,5 +1,6 @@
-/// The bill of customers' use: counts by windows of true time, windows settled
-/// once, reports that are the same however often and by whom they are sent.
+/// Tests of usage reports: requests are counted by windows of true time, each
+/// window is settled once, and its report is the same no matter how often and
+/// by which holder it is sent.
 
 #include "order_fixture.hpp"
 #include "programs/orderd/usage_duty.hpp"
@@ -40,19 +41,20 @@
   meter.OnRequestStarted(kNorth, TimePoint{ 100s });
   meter.OnRequestStarted(kNorth, TimePoint{ 100s + 990ms });
   meter.OnRequestStarted(kSouth, TimePoint{ 101s + 10ms });
-  // The monotonic clock's 103 s are 1003 s of true time: windows end at
-  // multiples of 5 s, so at 1000 s, which is 100 s there.
+  // 103 s on the monotonic clock are 1003 s of true time. Windows end at
+  // multiples of 5 s of true time, so one ends at 1000 s, or 100 s on the
+  // monotonic clock.
   const auto counts = meter.Counts(TimePoint{ 103s }, At(1003s), 5s);
   REQUIRE(counts.size() == 1);
   REQUIRE(counts.at(200).at(kNorth) == 2);
   REQUIRE(counts.at(200).at(kSouth) == 1);
-  // Told another true time, the same instants lie on both sides of an end.
+  // With a different true time, the same instants fall into two windows.
   const auto moved = meter.Counts(TimePoint{ 103s }, At(1002s), 5s);
   REQUIRE(moved.at(199).at(kNorth) == 2);
   REQUIRE(moved.at(200).at(kSouth) == 1);
 }
 
-TEST_CASE("counts are forgotten when nobody can ask for them any more")
+TEST_CASE("counts are removed once they can no longer be requested")
 {
   UsageMeter meter;
   meter.OnRequestStarted(kNorth, TimePoint{ 100s });
@@ -62,13 +64,13 @@
   REQUIRE(counts.at(32).at(kSouth) == 1);
 }
 
-TEST_CASE("the true time is what most clocks say")
+TEST_CASE("the true time is the median of the clocks")
 {
   REQUIRE(MedianClockAhead({}) == 0s);
   REQUIRE(MedianClockAhead({ 1ms, 2s, -1ms, 0ms, 2s, 2ms, -5s }) == 1ms);
 }
 
-TEST_CASE("messages of use come back as they were")
+TEST_CASE("usage messages survive encoding and decoding")
 {
   GatewayUsage usage;
   usage.incarnation_ = "g-1~7";
@@ -97,7 +99,7 @@
   REQUIRE_FALSE(DecodeUsageRequest("x"));
 }
 
-TEST_CASE("settled windows come back as they were")
+TEST_CASE("settled windows survive writing and reading")
 {
   const SettledWindow window{ { { kNorth, 3 }, { kSouth, 1 } }, true };
   const auto back = ReadSettledWindow(WriteSettledWindow(window));
@@ -108,14 +110,14 @@
   REQUIRE_FALSE(ReadSettledWindow("{"));
 }
 
-TEST_CASE("a window is settled when all gateways told what began in it")
+TEST_CASE("a window is settled when all gateways have reported its requests")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({}, At(101s));
   const std::set<std::string> both{ "g1", "g2" };
   ledger.OnUsage(UsageOf("g1", { { 20, { { kNorth, 2 } } } }), At(107s));
   REQUIRE_FALSE(ledger.NextDue(At(106s), both));
-  // g2 was asked too early: more may have begun since.
+  // g2 was polled too early: more requests may have started since.
   ledger.OnUsage(UsageOf("g2", { { 20, { { kNorth, 1 } } } }), At(106s));
   REQUIRE_FALSE(ledger.NextDue(At(108s), both));
   ledger.OnUsage(UsageOf("g2", { { 20, { { kNorth, 4 } } } }), At(107s));
@@ -128,7 +130,7 @@
   REQUIRE_FALSE(ledger.NextToSend());
 }
 
-TEST_CASE("a gateway that is gone counts with what it told last")
+TEST_CASE("a gateway that has left counts with its last report")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({}, At(101s));
@@ -138,7 +140,7 @@
   REQUIRE(ledger.CountsOf(20) == CustomerCounts{ { kNorth, 3 } });
 }
 
-TEST_CASE("a gateway that does not tell holds a window up only so long")
+TEST_CASE("an unresponsive gateway delays a window only for a limited time")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({}, At(101s));
@@ -148,28 +150,28 @@
   REQUIRE(ledger.NextDue(At(112s), both) == 20U);
 }
 
-TEST_CASE("a later holder goes on after the windows settled before it")
+TEST_CASE("a later holder continues after the windows settled before it")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({ { 18, { { { kNorth, 1 } }, true } },
                  { 19, { { { kNorth, 2 } }, false } } },
                At(113s));
   REQUIRE(ledger.NextToSend() == 19U);
-  // 20 and 21 ended while there was no holder.
+  // Windows 20 and 21 ended while there was no holder.
   ledger.OnUsage(UsageOf("g1", { { 20, { { kSouth, 1 } } } }), At(113s));
   REQUIRE(ledger.NextDue(At(113s), { "g1" }) == 20U);
   ledger.OnSettled(20, { ledger.CountsOf(20), false });
   REQUIRE(ledger.Settled().at(20).counts_ == CustomerCounts{ { kSouth, 1 } });
 }
 
-TEST_CASE("a holder after a long time bills nothing that nobody counted")
+TEST_CASE("a holder after a long gap skips windows that no gateway counted")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({ { 18, { {}, true } } }, At(1003s));
   REQUIRE(ledger.NextDue(At(1003s), {}) == 188U);
 }
 
-TEST_CASE("old windows are dropped once they were sent")
+TEST_CASE("obsolete windows are removed once they were sent")
 {
   UsageLedger ledger({ 5s, 10s, 2s, 0.7 });
   ledger.Begin({}, At(0s));
@@ -184,8 +186,8 @@
 
 namespace {
 
-/// The platform as a judge of reports: each window has one count, and a call
-/// may be carried out long after it was sent.
+/// The platform's side of usage reports: checks that each window is reported
+/// with the same counts only. Tests may deliver a call long after it was sent.
 struct ReportReceiver
 {
   std::map<std::string, std::string> accepted_;
@@ -212,12 +214,12 @@
   }
 };
 
-/// Calls to one gateway, which tells what the test set.
+/// Peer calls to one gateway that replies with the usage set by the test.
 struct FakeGatewayCalls final : PeerCalls
 {
   const Clock* clock_ = nullptr;
   GatewayUsage usage_;
-  /// How far its time of day is ahead of the paused clock.
+  /// How far the gateway's clock is ahead of the test clock.
   Duration clockOffset_{ 0 };
   bool unresponsive_ = false;
   std::size_t calls_ = 0;
@@ -289,13 +291,13 @@
                WriteLivenessRecord({ ZoneId{ "z1" }, "g1:7" }));
   }
 
-  /// The window that is present now.
+  /// @returns the window that contains the current time
   [[nodiscard]] UsageWindow CurrentWindow() const
   {
     return WindowOf(At(clock_.Now() - TimePoint{}), 5s);
   }
 
-  /// Carries out all calls of a process and answers them.
+  /// Delivers all calls of a process and replies to them.
   void Serve(Holder& aHolder)
   {
     while (!aHolder.client_.open_.empty()) {
@@ -333,10 +335,11 @@
           std::string::npos);
 }
 
-// The worst order: the first holder settled a window and sent it, no answer
-// came, and its lease lapsed; meanwhile the gateway counted one more request.
-// The second holder reports the window, then the first call is carried out.
-TEST_CASE("a late call and a later holder tell the same counts")
+// Guards against two counts for one window: the first holder settles a window
+// and sends its report, gets no reply and loses its lease, while the gateway
+// counts one more request. The second holder reports the window, then the first
+// call arrives.
+TEST_CASE("a late call and a later holder report the same counts")
 {
   UsageFixture fix;
   Holder first(fix, "o1~1");
@@ -354,12 +357,11 @@
   REQUIRE(fix.receiver_.accepted_.size() == 1);
   REQUIRE(fix.receiver_.accepted_.begin()->second.find(R"("north":3)") !=
           std::string::npos);
-  // Fenced, or it would have to be equal.
+  // Refused by its fencing number; otherwise its counts would have to be equal.
   REQUIRE(fix.receiver_.Receive(late) == 409);
 }
 
-TEST_CASE(
-  "a settling write whose answer is lost is read back before it is sent")
+TEST_CASE("a settling write whose reply is lost is read back before its report")
 {
   UsageFixture fix;
   Holder holder(fix, "o1~1");
@@ -381,7 +383,7 @@
           std::string::npos);
 }
 
-TEST_CASE("a report without an answer is sent again unchanged")
+TEST_CASE("a report without a reply is sent again unchanged")
 {
   UsageFixture fix;
   Holder holder(fix, "o1~1");
@@ -395,7 +397,7 @@
   REQUIRE(holder.client_.Oldest().call_.body_ == body);
 }
 
-TEST_CASE("a holder that was refused for a higher number gives the lease up")
+TEST_CASE("a holder refused for a higher fencing number abandons the lease")
 {
   UsageFixture fix;
   Holder holder(fix, "o1~1");
@@ -408,7 +410,7 @@
   REQUIRE(holder.client_.open_.empty());
 }
 
-TEST_CASE("nothing is settled on this process's clock alone")
+TEST_CASE("no window is settled by the holder's own clock alone")
 {
   UsageFixture fix;
   Holder holder(fix, "o1~1");
@@ -416,7 +418,7 @@
   holder.lease_.Start();
   fix.timers_.Advance(20s);
   REQUIRE(holder.client_.sent_ == 0);
-  // Its clock is 2 s ahead of the gateways'.
+  // The holder's clock is 2 s ahead of the gateways' clocks.
   holder.gateway_.unresponsive_ = false;
   holder.gateway_.clockOffset_ = -2s;
   fix.Run(holder, 1500ms);
@@ -424,9 +426,9 @@
           At(fix.clock_.Now() - TimePoint{} - Duration{ 2s }));
 }
 
-// Holders change in any order, calls are carried out late and answers are lost:
-// whatever happens, no window is told with two counts.
-TEST_CASE("seeded play of holders: one count for each window")
+// Guards against a window that is reported with two counts: in seeded runs
+// holders change at any time, calls arrive late and replies are lost.
+TEST_CASE("seeded simulation of holders: one count for each window")
 {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
@@ -485,7 +487,7 @@
         fix.Serve(*holder);
       }
     }
-    // Windows of the first 30 s have all been told.
+    // All windows of the first 30 s have been reported.
     CHECK(fix.receiver_.accepted_.size() >= 6);
   }
 }
