--- a/src/programs/gatewayd/forward_headers.cpp
+++ b/src/programs/gatewayd/forward_headers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 10> kConnectionFields{
+constexpr std::array<std::string_view, 10> kHopByHopFields{
   "connection",          "keep-alive",     "te",
   "transfer-encoding",   "trailer",        "upgrade",
   "proxy-connection",    "content-length", "expect",
@@ -31,28 +31,28 @@
 }
 
 bool
-ConcernsConnection(std::string_view aName)
+IsHopByHop(std::string_view aName)
 {
   return std::any_of(
-    kConnectionFields.begin(),
-    kConnectionFields.end(),
+    kHopByHopFields.begin(),
+    kHopByHopFields.end(),
     [&](std::string_view aField) { return SameName(aName, aField); });
 }
 
 } // namespace
 
 HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders, const WireNames& aNames)
+ForwardableHeaders(const HttpHeaders& aHeaders, const WireNames& aNames)
 {
-  HttpHeaders passed;
+  HttpHeaders forwardable;
   for (const HttpHeader& header : aHeaders) {
-    if (!ConcernsConnection(header.name_) &&
+    if (!IsHopByHop(header.name_) &&
         !SameName(header.name_, aNames.deadline_) &&
         !SameName(header.name_, aNames.expectUpstream_)) {
-      passed.push_back(header);
+      forwardable.push_back(header);
     }
   }
-  return passed;
+  return forwardable;
 }
 
 void
@@ -70,10 +70,10 @@
 }
 
 HttpResponse
-RefusedResponse(std::string_view aWhy, Duration aComeBack)
+RefusedResponse(std::string_view aWhy, Duration aRetryAfter)
 {
   HttpResponse response = ErrorResponse(503, "refused_not_run", aWhy);
-  const double seconds = std::chrono::duration<double>(aComeBack).count();
+  const double seconds = std::chrono::duration<double>(aRetryAfter).count();
   response.headers_.push_back(
     { "Retry-After", fmt::format("{:.3f}", seconds) });
   return response;
--- a/src/programs/gatewayd/forwarder.cpp
+++ b/src/programs/gatewayd/forwarder.cpp
@@ -8,17 +8,17 @@
 
 /// Share of the objective after which an idempotent request is sent to
 /// another upstream.
-constexpr double kPatienceShare = 0.7;
-constexpr auto kLeastPatience = std::chrono::milliseconds(80);
+constexpr double kAttemptTimeoutShare = 0.7;
+constexpr auto kMinAttemptTimeout = std::chrono::milliseconds(80);
 /// Patience grows by this factor with each attempt that was cut short: what
 /// takes long at one upstream is likelier long by itself than unlucky twice.
-/// With equal patience a scoring call of 0.6 s and more was cut at each of 20
+/// With equal timeout a scoring call of 0.6 s and more was cut at each of 20
 /// attempts over 25 s, and its trainer's step lost.
-constexpr std::int64_t kPatienceGrowth = 3;
+constexpr std::int64_t kAttemptTimeoutGrowth = 3;
 /// Less time than this is not worth an attempt.
-constexpr auto kLeastAttempt = std::chrono::milliseconds(15);
-constexpr std::string_view kTimeIsOver = "the time limit passed";
-constexpr std::string_view kCrashesUpstreams =
+constexpr auto kMinAttemptTime = std::chrono::milliseconds(15);
+constexpr std::string_view kTimeLimitText = "the time limit passed";
+constexpr std::string_view kQuarantinedText =
   "quarantined: upstreams crashed each time while they ran this request";
 
 } // namespace
@@ -26,28 +26,28 @@
 Forwarder::Forwarder(GatewayContext& aHost, UpstreamTable& aTable)
   : host_(aHost)
   , upstreamTable_(aTable)
-  , crashes_(aHost)
+  , quarantine_(aHost)
 {
 }
 
 ForwardId
 Forwarder::Start(ForwardRequest aRequest, ForwardDone aDone)
 {
-  const ForwardId id = ++last_;
-  Flight& flight = flights_[id];
-  flight.request_ = std::move(aRequest);
-  flight.done_ = std::move(aDone);
-  flight.started_ = host_.Now();
-  flight.fingerprint_ =
-    FingerprintOf(flight.request_.method_,
-                  FindHeader(flight.request_.headers_, "Host").value_or(""),
-                  flight.request_.target_,
-                  flight.request_.body_);
-  if (flight.request_.reply_) {
-    flight.stream_ = MakeStream(flight.request_);
+  const ForwardId id = ++lastId_;
+  PendingRequest& pending = pending_[id];
+  pending.request_ = std::move(aRequest);
+  pending.done_ = std::move(aDone);
+  pending.startedAt_ = host_.Now();
+  pending.fingerprint_ =
+    FingerprintOf(pending.request_.method_,
+                  FindHeader(pending.request_.headers_, "Host").value_or(""),
+                  pending.request_.target_,
+                  pending.request_.body_);
+  if (pending.request_.reply_) {
+    pending.stream_ = MakeStream(pending.request_);
   }
-  flight.limitTimer_ =
-    host_.Timers().After(flight.request_.limit_, [this, id] { OnLimit(id); });
+  pending.limitTimer_ =
+    host_.Timers().After(pending.request_.limit_, [this, id] { OnLimit(id); });
   SendNext(id);
   return id;
 }
@@ -55,90 +55,91 @@
 void
 Forwarder::Cancel(ForwardId aId)
 {
-  const auto it = flights_.find(aId);
-  if (it == flights_.end()) {
+  const auto it = pending_.find(aId);
+  if (it == pending_.end()) {
     return;
   }
   if (it->second.inFlight_) {
-    NoteBegun(it->second, it->second.sent_);
+    MarkRunStarted(it->second, it->second.sentAt_);
   }
-  CountUse(it->second);
-  Abandon(it->second);
+  CountUsage(it->second);
+  CancelAttempt(it->second);
   host_.Timers().Cancel(it->second.limitTimer_);
   LogEvent(LogLevel::Info,
            "request_abandoned",
            { { "id", it->second.request_.attempt_ },
              { "upstream", it->second.upstream_.Get() } });
-  flights_.erase(it);
+  pending_.erase(it);
 }
 
 void
 Forwarder::OnUpstreamRestarted(const UpstreamId& aUpstream)
 {
   std::vector<ForwardId> lost;
-  for (const auto& [id, flight] : flights_) {
-    if (flight.inFlight_ && flight.upstream_ == aUpstream &&
-        host_.Now() - LastHeard(flight) >= Duration{ kRestartIdleTime }) {
+  for (const auto& [id, pending] : pending_) {
+    if (pending.inFlight_ && pending.upstream_ == aUpstream &&
+        host_.Now() - LastProgress(pending) >= Duration{ kRestartIdleTime }) {
       lost.push_back(id);
     }
   }
   for (const ForwardId id : lost) {
-    const auto it = flights_.find(id);
-    if (it == flights_.end()) {
+    const auto it = pending_.find(id);
+    if (it == pending_.end()) {
       // The end of another has cancelled it.
       continue;
     }
-    Flight& flight = it->second;
+    PendingRequest& pending = it->second;
     LogEvent(LogLevel::Info,
              "attempt_lost",
-             { { "id", flight.request_.attempt_ },
+             { { "id", pending.request_.attempt_ },
                { "upstream", aUpstream.Get() },
                { "why", "the upstream has started again" } });
-    ++flight.ran_;
-    NoteBegun(flight, flight.sent_);
-    Abandon(flight, CallEnd::Broken);
+    ++pending.possibleRuns_;
+    MarkRunStarted(pending, pending.sentAt_);
+    CancelAttempt(pending, CallEnd::Broken);
     SendNext(id);
   }
 }
 
 Duration
-Forwarder::Left(const Flight& aFlight) const
+Forwarder::TimeLeft(const PendingRequest& aPending) const
 {
-  return aFlight.started_ + aFlight.request_.limit_ - host_.Now();
+  return aPending.startedAt_ + aPending.request_.limit_ - host_.Now();
 }
 
 bool
-Forwarder::Repeatable(const Flight& aFlight) noexcept
+Forwarder::Repeatable(const PendingRequest& aPending) noexcept
 {
-  const ForwardRequest& request = aFlight.request_;
+  const ForwardRequest& request = aPending.request_;
   return request.kind_ == RouteKind::Idempotent ||
-         (aFlight.stream_ && request.resumable_ &&
-          aFlight.stream_->relay_.CanResume());
+         (aPending.stream_ && request.resumable_ &&
+          aPending.stream_->relay_.CanResume());
 }
 
 bool
-Forwarder::MayRetry(const Flight& aFlight) const
+Forwarder::MayRetry(const PendingRequest& aPending) const
 {
-  return (aFlight.ran_ == 0 || Repeatable(aFlight)) &&
-         aFlight.ran_ < aFlight.request_.maxAttempts_ &&
-         Left(aFlight) > kLeastAttempt;
+  return (aPending.possibleRuns_ == 0 || Repeatable(aPending)) &&
+         aPending.possibleRuns_ < aPending.request_.maxAttempts_ &&
+         TimeLeft(aPending) > kMinAttemptTime;
 }
 
-Forwarder::Flight*
-Forwarder::Present(ForwardId aId, std::uint32_t aAttempt)
+Forwarder::PendingRequest*
+Forwarder::FindAttempt(ForwardId aId, std::uint32_t aAttempt)
 {
-  const auto it = flights_.find(aId);
-  const bool present = it != flights_.end() && it->second.attempt_ == aAttempt;
+  const auto it = pending_.find(aId);
+  const bool present =
+    it != pending_.end() && it->second.attemptNumber_ == aAttempt;
   return present ? &it->second : nullptr;
 }
 
 const TrackedUpstream*
-Forwarder::PickFor(const Flight& aFlight) const
+Forwarder::PickUpstream(const PendingRequest& aPending) const
 {
-  const ServiceId& service = aFlight.request_.service_;
-  const auto avoid = crashes_.Avoid(aFlight.fingerprint_);
+  const ServiceId& service = aPending.request_.service_;
+  const auto avoid = quarantine_.UpstreamsToAvoid(aPending.fingerprint_);
   if (!avoid.empty()) {
-    std::set<UpstreamId> excluded = aFlight.tried_;
+    std::set<UpstreamId> excluded = aPending.tried_;
     excluded.insert(avoid.begin(), avoid.end());
     const TrackedUpstream* apart =
       upstreamTable_.Pick(service, excluded, host_.Now());
@@ -147,55 +148,57 @@
       return apart;
     }
   }
-  return upstreamTable_.Pick(service, aFlight.tried_, host_.Now());
+  return upstreamTable_.Pick(service, aPending.tried_, host_.Now());
 }
 
 void
 Forwarder::SendNext(ForwardId aId)
 {
-  Flight& flight = flights_.at(aId);
-  const QuarantineVerdict verdict = crashes_.Judge(flight.fingerprint_);
-  if (verdict.refused_ && flight.ran_ == 0) {
-    GiveUp(aId, 503, verdict.reason_, verdict.retryAfter_);
+  PendingRequest& pending = pending_.at(aId);
+  const QuarantineVerdict verdict = quarantine_.Judge(pending.fingerprint_);
+  if (verdict.refused_ && pending.possibleRuns_ == 0) {
+    FailRequest(aId, 503, verdict.reason_, verdict.retryAfter_);
     return;
   }
   if (verdict.refused_) {
-    GiveUp(aId, 502, kCrashesUpstreams);
+    FailRequest(aId, 502, kQuarantinedText);
     return;
   }
-  const TrackedUpstream* upstream = PickFor(flight);
-  if (upstream == nullptr || !MayRetry(flight)) {
-    if (flight.failure_ && !Begun(flight)) {
-      Finish(aId, { std::move(*flight.failure_), true });
-    } else if (flight.ran_ == 0) {
-      GiveUp(aId, 503, upstream == nullptr ? "no upstream" : "no time left");
-    } else if (Left(flight) <= kLeastAttempt) {
-      GiveUp(aId, 504, kTimeIsOver);
+  const TrackedUpstream* upstream = PickUpstream(pending);
+  if (upstream == nullptr || !MayRetry(pending)) {
+    if (pending.failure_ && !HeadSent(pending)) {
+      Finish(aId, { std::move(*pending.failure_), true });
+    } else if (pending.possibleRuns_ == 0) {
+      FailRequest(
+        aId, 503, upstream == nullptr ? "no upstream" : "no time left");
+    } else if (TimeLeft(pending) <= kMinAttemptTime) {
+      FailRequest(aId, 504, kTimeLimitText);
     } else {
-      GiveUp(aId, 502, "no upstream gave a whole answer");
+      FailRequest(aId, 502, "no upstream gave a whole answer");
     }
     return;
   }
-  Send(aId, flight, *upstream);
+  Send(aId, pending, *upstream);
 }
 
 HttpCall
-Forwarder::MakeCall(const Flight& aFlight, const UpstreamEntry& aUpstream) const
+Forwarder::MakeCall(const PendingRequest& aPending,
+                    const UpstreamEntry& aUpstream) const
 {
   const WireNames& names = host_.Formats().Names();
-  const ForwardRequest& request = aFlight.request_;
+  const ForwardRequest& request = aPending.request_;
   HttpCall call;
   call.method_ = request.method_;
   call.url_ = "http://" + aUpstream.address_ + request.target_;
   call.headers_ = request.headers_;
   call.headers_.push_back(
-    { names.deadline_, std::to_string(WholeMillis(Left(aFlight))) });
+    { names.deadline_, std::to_string(WholeMillis(TimeLeft(aPending))) });
   call.headers_.push_back({ names.expectUpstream_, aUpstream.id_.Get() });
   call.body_ = request.body_;
-  call.timeout_ = Left(aFlight);
+  call.timeout_ = TimeLeft(aPending);
   call.connectTimeout_ =
     std::min<Duration>(kUpstreamConnectTimeout, call.timeout_);
-  call.atMostOnce_ = !Repeatable(aFlight);
+  call.atMostOnce_ = !Repeatable(aPending);
   // What tells a late second answer apart is the id. Where there is none, or
   // where it went out before and its failure may come twice, the connection
   // must be one that brought nothing yet.
@@ -205,94 +208,97 @@
 
 void
 Forwarder::Send(ForwardId aId,
-                Flight& aFlight,
+                PendingRequest& aPending,
                 const TrackedUpstream& aUpstream)
 {
-  aFlight.upstream_ = aUpstream.entry_.id_;
-  aFlight.sent_ = host_.Now();
-  aFlight.tried_.insert(aFlight.upstream_);
-  aFlight.inFlight_ = true;
-  aFlight.doubt_ = {};
-  const std::uint32_t attempt = ++aFlight.attempt_;
-  upstreamTable_.OnStart(aFlight.upstream_, host_.Now());
-  crashes_.OnSent(aFlight.fingerprint_, aFlight.upstream_);
+  aPending.upstream_ = aUpstream.entry_.id_;
+  aPending.sentAt_ = host_.Now();
+  aPending.tried_.insert(aPending.upstream_);
+  aPending.inFlight_ = true;
+  aPending.rejectReason_ = {};
+  const std::uint32_t attempt = ++aPending.attemptNumber_;
+  upstreamTable_.OnStart(aPending.upstream_, host_.Now());
+  quarantine_.OnSent(aPending.fingerprint_, aPending.upstream_);
   LogEvent(LogLevel::Debug,
            "attempt_sent",
-           { { "id", aFlight.request_.attempt_ },
-             { "upstream", aFlight.upstream_.Get() },
-             { "left_ms", std::to_string(WholeMillis(Left(aFlight))) } });
-  HttpCall call = MakeCall(aFlight, aUpstream.entry_);
+           { { "id", aPending.request_.attempt_ },
+             { "upstream", aPending.upstream_.Get() },
+             { "left_ms", std::to_string(WholeMillis(TimeLeft(aPending))) } });
+  HttpCall call = MakeCall(aPending, aUpstream.entry_);
   call.onHead_ = [this, aId, attempt](int aStatus,
                                       const HttpHeaders& aHeaders) {
-    Flight* flight = Present(aId, attempt);
-    return flight != nullptr && OnHead(*flight, aStatus, aHeaders);
+    PendingRequest* pending = FindAttempt(aId, attempt);
+    return pending != nullptr && OnHead(*pending, aStatus, aHeaders);
   };
-  if (aFlight.stream_) {
-    PrepareStream(aId, aFlight, call);
+  if (aPending.stream_) {
+    PrepareStream(aId, aPending, call);
   }
-  aFlight.call_ = host_.Client().Send(
+  aPending.call_ = host_.Client().Send(
     std::move(call), [this, aId, attempt](HttpResult aResult) {
       OnResult(aId, attempt, std::move(aResult));
     });
-  const Duration patience = PatienceOf(aFlight);
-  if (aFlight.request_.kind_ == RouteKind::Idempotent &&
-      aFlight.ran_ + 1 < aFlight.request_.maxAttempts_) {
-    aFlight.patienceTimer_ =
-      host_.Timers().After(patience, [this, aId] { OnPatienceOver(aId); });
+  const Duration timeout = AttemptTimeout(aPending);
+  if (aPending.request_.kind_ == RouteKind::Idempotent &&
+      aPending.possibleRuns_ + 1 < aPending.request_.maxAttempts_) {
+    aPending.attemptTimer_ =
+      host_.Timers().After(timeout, [this, aId] { OnAttemptTimeout(aId); });
   }
 }
 
 Duration
-Forwarder::PatienceOf(const Flight& aFlight)
+Forwarder::AttemptTimeout(const PendingRequest& aPending)
 {
   const auto objective =
-    static_cast<double>(aFlight.request_.objective_.count());
-  Duration patience = std::max<Duration>(
-    kLeastPatience,
-    Duration{ static_cast<std::int64_t>(kPatienceShare * objective) });
-  for (std::uint32_t i = 0; i < aFlight.cutShort_; ++i) {
-    patience *= kPatienceGrowth;
+    static_cast<double>(aPending.request_.objective_.count());
+  Duration timeout = std::max<Duration>(
+    kMinAttemptTimeout,
+    Duration{ static_cast<std::int64_t>(kAttemptTimeoutShare * objective) });
+  for (std::uint32_t i = 0; i < aPending.timedOutAttempts_; ++i) {
+    timeout *= kAttemptTimeoutGrowth;
   }
-  return std::min(patience, aFlight.request_.limit_);
+  return std::min(timeout, aPending.request_.limit_);
 }
 
 void
-Forwarder::EndAttempt(Flight& aFlight, CallVerdict aVerdict, CallEnd aEnd)
+Forwarder::EndAttempt(PendingRequest& aPending,
+                      CallVerdict aVerdict,
+                      CallEnd aEnd)
 {
-  host_.Timers().Cancel(aFlight.patienceTimer_);
-  if (!aFlight.inFlight_) {
+  host_.Timers().Cancel(aPending.attemptTimer_);
+  if (!aPending.inFlight_) {
     return;
   }
-  aFlight.inFlight_ = false;
-  ++aFlight.attempt_;
-  upstreamTable_.OnEnd(aFlight.upstream_, aVerdict, host_.Now());
+  aPending.inFlight_ = false;
+  ++aPending.attemptNumber_;
+  upstreamTable_.OnEnd(aPending.upstream_, aVerdict, host_.Now());
   const bool answered = aVerdict == CallVerdict::Answered;
-  crashes_.OnEnd(aFlight.fingerprint_,
-                 aFlight.upstream_,
-                 answered ? CallEnd::Answered : aEnd);
+  quarantine_.OnEnd(aPending.fingerprint_,
+                    aPending.upstream_,
+                    answered ? CallEnd::Answered : aEnd);
 }
 
 void
-Forwarder::Abandon(Flight& aFlight, CallEnd aEnd)
+Forwarder::CancelAttempt(PendingRequest& aPending, CallEnd aEnd)
 {
-  if (aFlight.inFlight_) {
-    host_.Client().Cancel(aFlight.call_);
+  if (aPending.inFlight_) {
+    host_.Client().Cancel(aPending.call_);
   }
-  EndAttempt(aFlight, CallVerdict::Abandoned, aEnd);
+  EndAttempt(aPending, CallVerdict::Abandoned, aEnd);
 }
 
 /// Which request an answer names and which connection brought it: where answers
 /// come in the wrong place, this tells whose they are.
 void
-Forwarder::LogEnd(const Flight& aFlight, const HttpResult& aResult) const
+Forwarder::LogAttemptEnd(const PendingRequest& aPending,
+                         const HttpResult& aResult) const
 {
   const HttpResponse& head =
-    aFlight.stream_ ? aFlight.stream_->head_ : aResult.response_;
+    aPending.stream_ ? aPending.stream_->head_ : aResult.response_;
   const auto echo = FindHeader(head.headers_, host_.Formats().Names().attempt_);
   LogEvent(LogLevel::Debug,
            "attempt_ended",
-           { { "id", aFlight.request_.attempt_ },
-             { "upstream", aFlight.upstream_.Get() },
+           { { "id", aPending.request_.attempt_ },
+             { "upstream", aPending.upstream_.Get() },
              { "whole", aResult.end_ == HttpEnd::Whole ? "yes" : "no" },
              { "status", std::to_string(head.status_) },
              { "names", std::string(echo.value_or("nothing")) },
@@ -303,56 +309,57 @@
 void
 Forwarder::OnResult(ForwardId aId, std::uint32_t aAttempt, HttpResult aResult)
 {
-  Flight* flight = Present(aId, aAttempt);
-  if (flight == nullptr) {
+  PendingRequest* pending = FindAttempt(aId, aAttempt);
+  if (pending == nullptr) {
     return;
   }
-  LogEnd(*flight, aResult);
+  LogAttemptEnd(*pending, aResult);
   if (aResult.opened_) {
     host_.Measures().Count("upstream_connections_total{for=\"calls\"}");
   }
-  if (!flight->doubt_.empty()) {
-    OnDoubted(aId, *flight, aResult);
-  } else if (flight->stream_) {
-    OnStreamEnd(aId, *flight, std::move(aResult));
+  if (!pending->rejectReason_.empty()) {
+    OnRejected(aId, *pending, aResult);
+  } else if (pending->stream_) {
+    OnStreamEnd(aId, *pending, std::move(aResult));
   } else if (aResult.end_ == HttpEnd::Whole) {
-    OnAnswer(aId, *flight, std::move(aResult.response_));
+    OnAnswer(aId, *pending, std::move(aResult.response_));
   } else {
-    OnAttemptFailed(aId, *flight, aResult.end_, aResult.message_);
+    OnAttemptFailed(aId, *pending, aResult.end_, aResult.message_);
   }
 }
 
 void
 Forwarder::OnAttemptFailed(ForwardId aId,
-                           Flight& aFlight,
+                           PendingRequest& aPending,
                            HttpEnd aEnd,
                            const std::string& aWhy)
 {
   LogEvent(LogLevel::Info,
            "attempt_failed",
-           { { "id", aFlight.request_.attempt_ },
-             { "upstream", aFlight.upstream_.Get() },
+           { { "id", aPending.request_.attempt_ },
+             { "upstream", aPending.upstream_.Get() },
              { "sent", aEnd == HttpEnd::NotSent ? "no" : "yes" },
              { "error", aWhy } });
   if (aEnd != HttpEnd::NotSent) {
-    ++aFlight.ran_;
-    NoteBegun(aFlight, aFlight.sent_);
+    ++aPending.possibleRuns_;
+    MarkRunStarted(aPending, aPending.sentAt_);
   }
-  EndAttempt(aFlight,
+  EndAttempt(aPending,
              CallVerdict::Failed,
              aEnd == HttpEnd::Broken ? CallEnd::Broken : CallEnd::Other);
   SendNext(aId);
 }
 
 std::string_view
-Forwarder::Doubt(const Flight& aFlight, const HttpResponse& aHead) const
+Forwarder::RejectReason(const PendingRequest& aPending,
+                        const HttpResponse& aHead) const
 {
   const WireNames& names = host_.Formats().Names();
   const auto echo = FindHeader(aHead.headers_, names.attempt_);
   // Upstreams name the request in every answer of theirs. A second answer to
   // an earlier call of the connection may come late and without an id; taken
   // for this request's it gave callers and trainers another run's signature.
-  if (echo.value_or("") != aFlight.request_.attempt_) {
+  if (echo.value_or("") != aPending.request_.attempt_) {
     return echo ? "belongs to another request" : "does not name the request";
   }
   const bool success = aHead.status_ >= 200 && aHead.status_ < 300;
@@ -361,52 +368,58 @@
 }
 
 bool
-Forwarder::OnHead(Flight& aFlight, int aStatus, const HttpHeaders& aHeaders)
+Forwarder::OnHead(PendingRequest& aPending,
+                  int aStatus,
+                  const HttpHeaders& aHeaders)
 {
   HttpResponse head{ aStatus, aHeaders, {} };
-  aFlight.doubt_ = Doubt(aFlight, head);
-  if (aFlight.stream_) {
-    TakeHead(aFlight, std::move(head));
+  aPending.rejectReason_ = RejectReason(aPending, head);
+  if (aPending.stream_) {
+    OnStreamHead(aPending, std::move(head));
   }
-  return aFlight.doubt_.empty();
+  return aPending.rejectReason_.empty();
 }
 
 void
-Forwarder::OnDoubted(ForwardId aId, Flight& aFlight, const HttpResult& aResult)
+Forwarder::OnRejected(ForwardId aId,
+                      PendingRequest& aPending,
+                      const HttpResult& aResult)
 {
   LogEvent(LogLevel::Warn,
            "answer_rejected",
-           { { "id", aFlight.request_.attempt_ },
-             { "upstream", aFlight.upstream_.Get() },
-             { "why", std::string(aFlight.doubt_) },
+           { { "id", aPending.request_.attempt_ },
+             { "upstream", aPending.upstream_.Get() },
+             { "why", std::string(aPending.rejectReason_) },
              { "port", std::to_string(aResult.localPort_) },
              { "first_on_connection", aResult.opened_ ? "yes" : "no" } });
-  ++aFlight.ran_;
-  NoteBegun(aFlight, aFlight.sent_);
-  EndAttempt(aFlight, CallVerdict::Failed);
+  ++aPending.possibleRuns_;
+  MarkRunStarted(aPending, aPending.sentAt_);
+  EndAttempt(aPending, CallVerdict::Failed);
   SendNext(aId);
 }
 
 void
-Forwarder::OnAnswer(ForwardId aId, Flight& aFlight, HttpResponse aResponse)
+Forwarder::OnAnswer(ForwardId aId,
+                    PendingRequest& aPending,
+                    HttpResponse aResponse)
 {
   const WireNames& names = host_.Formats().Names();
   if (FindHeader(aResponse.headers_, names.notRun_) ||
       aResponse.status_ == 421) {
     if (aResponse.status_ == 421) {
-      upstreamTable_.OnReplaced(aFlight.upstream_, host_.Now());
+      upstreamTable_.OnReplaced(aPending.upstream_, host_.Now());
     }
-    EndAttempt(aFlight, CallVerdict::Full);
+    EndAttempt(aPending, CallVerdict::Full);
     SendNext(aId);
     return;
   }
-  ++aFlight.ran_;
-  NoteBegun(aFlight, aFlight.sent_);
-  EndAttempt(aFlight, CallVerdict::Answered);
-  aFlight.failures_ += aResponse.status_ == 500 ? 1 : 0;
+  ++aPending.possibleRuns_;
+  MarkRunStarted(aPending, aPending.sentAt_);
+  EndAttempt(aPending, CallVerdict::Answered);
+  aPending.failures_ += aResponse.status_ == 500 ? 1 : 0;
   // A stream that had begun cannot end with another answer.
-  if ((aResponse.status_ >= 500 && MayRetry(aFlight)) || Begun(aFlight)) {
-    aFlight.failure_ = std::move(aResponse);
+  if ((aResponse.status_ >= 500 && MayRetry(aPending)) || HeadSent(aPending)) {
+    aPending.failure_ = std::move(aResponse);
     SendNext(aId);
     return;
   }
@@ -414,26 +427,26 @@
 }
 
 void
-Forwarder::OnPatienceOver(ForwardId aId)
+Forwarder::OnAttemptTimeout(ForwardId aId)
 {
-  const auto it = flights_.find(aId);
-  if (it == flights_.end() || !it->second.inFlight_) {
+  const auto it = pending_.find(aId);
+  if (it == pending_.end() || !it->second.inFlight_) {
     return;
   }
-  Flight& flight = it->second;
+  PendingRequest& pending = it->second;
   const TrackedUpstream* other =
-    upstreamTable_.Pick(flight.request_.service_, flight.tried_, host_.Now());
+    upstreamTable_.Pick(pending.request_.service_, pending.tried_, host_.Now());
   if (other == nullptr || other->avoidUntil_ > host_.Now()) {
     return;
   }
-  ++flight.ran_;
-  NoteBegun(flight, flight.sent_);
-  ++flight.cutShort_;
-  Abandon(flight);
+  ++pending.possibleRuns_;
+  MarkRunStarted(pending, pending.sentAt_);
+  ++pending.timedOutAttempts_;
+  CancelAttempt(pending);
   LogEvent(LogLevel::Info,
            "attempt_outwaited",
-           { { "id", flight.request_.attempt_ },
-             { "upstream", flight.upstream_.Get() },
+           { { "id", pending.request_.attempt_ },
+             { "upstream", pending.upstream_.Get() },
              { "next", other->entry_.id_.Get() } });
   SendNext(aId);
 }
@@ -441,38 +454,38 @@
 void
 Forwarder::OnLimit(ForwardId aId)
 {
-  const auto it = flights_.find(aId);
-  if (it == flights_.end()) {
+  const auto it = pending_.find(aId);
+  if (it == pending_.end()) {
     return;
   }
   if (it->second.inFlight_) {
-    ++it->second.ran_;
-    NoteBegun(it->second, it->second.sent_);
+    ++it->second.possibleRuns_;
+    MarkRunStarted(it->second, it->second.sentAt_);
   }
-  Abandon(it->second);
-  GiveUp(aId, it->second.ran_ == 0 ? 503 : 504, kTimeIsOver);
+  CancelAttempt(it->second);
+  FailRequest(aId, it->second.possibleRuns_ == 0 ? 503 : 504, kTimeLimitText);
 }
 
 void
-Forwarder::GiveUp(ForwardId aId,
-                  int aStatus,
-                  std::string_view aWhy,
-                  Duration aComeBack)
+Forwarder::FailRequest(ForwardId aId,
+                       int aStatus,
+                       std::string_view aWhy,
+                       Duration aRetryAfter)
 {
-  const Flight& flight = flights_.at(aId);
+  const PendingRequest& pending = pending_.at(aId);
   LogEvent(LogLevel::Warn,
            "request_given_up",
-           { { "id", flight.request_.attempt_ },
-             { "service", flight.request_.service_.Get() },
+           { { "id", pending.request_.attempt_ },
+             { "service", pending.request_.service_.Get() },
              { "status", std::to_string(aStatus) },
-             { "attempts", std::to_string(flight.tried_.size()) },
-             { "last_upstream", flight.upstream_.Get() },
-             { "begun", Begun(flight) ? "yes" : "no" },
+             { "attempts", std::to_string(pending.tried_.size()) },
+             { "last_upstream", pending.upstream_.Get() },
+             { "begun", HeadSent(pending) ? "yes" : "no" },
              { "why", std::string(aWhy) } });
   ForwardOutcome outcome;
   outcome.notRun_ = aStatus == 503;
   outcome.response_ = outcome.notRun_
-                        ? RefusedResponse(aWhy, aComeBack)
+                        ? RefusedResponse(aWhy, aRetryAfter)
                         : ErrorResponse(aStatus, "unknown_outcome", aWhy);
   Finish(aId, std::move(outcome));
 }
@@ -480,21 +493,21 @@
 void
 Forwarder::Finish(ForwardId aId, ForwardOutcome aOutcome)
 {
-  auto node = flights_.extract(aId);
-  Flight& flight = node.mapped();
-  CountUse(flight);
-  host_.Timers().Cancel(flight.limitTimer_);
-  host_.Timers().Cancel(flight.patienceTimer_);
-  aOutcome.begun_ = Begun(flight);
-  const std::string status = aOutcome.begun_ && !aOutcome.answered_
+  auto node = pending_.extract(aId);
+  PendingRequest& pending = node.mapped();
+  CountUsage(pending);
+  host_.Timers().Cancel(pending.limitTimer_);
+  host_.Timers().Cancel(pending.attemptTimer_);
+  aOutcome.headSent_ = HeadSent(pending);
+  const std::string status = aOutcome.headSent_ && !aOutcome.answered_
                                ? "broken"
                                : std::to_string(aOutcome.response_.status_);
   host_.Measures().Count("requests_total{status=\"" + status + "\"}");
   host_.Measures().Observe(
     "request_seconds",
-    std::chrono::duration<double>(host_.Now() - flight.started_).count());
-  aOutcome.failures_ = flight.failures_;
-  flight.done_(std::move(aOutcome));
+    std::chrono::duration<double>(host_.Now() - pending.startedAt_).count());
+  aOutcome.failures_ = pending.failures_;
+  pending.done_(std::move(aOutcome));
 }
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/forwarder.hpp
+++ b/src/programs/gatewayd/forwarder.hpp
@@ -20,7 +20,7 @@
 /// A stream that can be resumed and makes nothing for this long is resumed
 /// elsewhere: callers leave after a gap of two seconds or more, and a change
 /// of weights holds a stream up for 0.9 s.
-inline constexpr auto kStreamSilence = std::chrono::milliseconds(1500);
+inline constexpr auto kStreamStallTimeout = std::chrono::milliseconds(1500);
 
 /// What is to be sent on.
 struct ForwardRequest
@@ -57,7 +57,7 @@
   /// The response is an upstream's own, and whole.
   bool answered_ = false;
   /// The head of a stream was passed on: there is no response any more.
-  bool begun_ = false;
+  bool headSent_ = false;
   /// No upstream ran it and none will.
   bool notRun_ = false;
   /// Answers in which an upstream reported its own failure.
@@ -80,7 +80,7 @@
   /// Attempts at the upstream's incarnation before are lost.
   void OnUpstreamRestarted(const UpstreamId& aUpstream);
   /// What is held against requests; items of jobs ask and tell it as well.
-  [[nodiscard]] RequestQuarantine& Crashes() noexcept { return crashes_; }
+  [[nodiscard]] RequestQuarantine& Quarantine() noexcept { return quarantine_; }
   /// What customers used through this process.
   [[nodiscard]] const UsageMeter& Usage() const noexcept { return usage_; }
   /// @returns requests in progress by service
@@ -88,7 +88,7 @@
 
 private:
   /// A refused caller comes back after this time.
-  static constexpr auto kComeBack = std::chrono::milliseconds(200);
+  static constexpr auto kRetryAfter = std::chrono::milliseconds(200);
 
   /// What a stream has beside other requests.
   struct Stream
@@ -105,129 +105,142 @@
     /// The present attempt answers with events.
     bool events_ = false;
     /// The head was passed on to the caller.
-    bool begun_ = false;
+    bool headSent_ = false;
     TimePoint lastProgress_;
   };
 
-  struct Flight
+  struct PendingRequest
   {
     ForwardRequest request_;
     ForwardDone done_;
-    TimePoint started_;
+    TimePoint startedAt_;
     Fingerprint fingerprint_;
     std::set<UpstreamId> tried_;
     /// Attempts that may have run.
-    std::uint32_t ran_ = 0;
+    std::uint32_t possibleRuns_ = 0;
     /// Attempts that were cut short for another upstream.
-    std::uint32_t cutShort_ = 0;
+    std::uint32_t timedOutAttempts_ = 0;
     UpstreamId upstream_;
     /// When the present attempt was sent.
-    TimePoint sent_;
+    TimePoint sentAt_;
     HttpCallId call_ = 0;
     /// Number of the present attempt; answers of others are ignored.
-    std::uint32_t attempt_ = 0;
+    std::uint32_t attemptNumber_ = 0;
     bool inFlight_ = false;
     /// Why its answer is not to be believed; empty while it is.
-    std::string_view doubt_;
+    std::string_view rejectReason_;
     LoopTimerId limitTimer_ = 0;
-    LoopTimerId patienceTimer_ = 0;
+    LoopTimerId attemptTimer_ = 0;
     /// The last answer of an upstream that reported its own failure.
     std::optional<HttpResponse> failure_;
     std::uint32_t failures_ = 0;
     /// Of a stream only.
     std::unique_ptr<Stream> stream_;
     /// When an upstream began to run it, as far as is known.
-    std::optional<TimePoint> begun_;
+    std::optional<TimePoint> runStartedAt_;
   };
 
   /// The present attempt has begun to run at its upstream, or may have.
-  static void NoteBegun(Flight& aFlight, TimePoint aAt);
+  static void MarkRunStarted(PendingRequest& aPending, TimePoint aAt);
   /// Counts a request that began to run, once.
-  void CountUse(const Flight& aFlight);
+  void CountUsage(const PendingRequest& aPending);
 
   void SendNext(ForwardId aId);
   /// @returns nullptr if no upstream is left
-  [[nodiscard]] const TrackedUpstream* PickFor(const Flight& aFlight) const;
-  void Send(ForwardId aId, Flight& aFlight, const TrackedUpstream& aUpstream);
-  [[nodiscard]] HttpCall MakeCall(const Flight& aFlight,
+  [[nodiscard]] const TrackedUpstream* PickUpstream(
+    const PendingRequest& aPending) const;
+  void Send(ForwardId aId,
+            PendingRequest& aPending,
+            const TrackedUpstream& aUpstream);
+  [[nodiscard]] HttpCall MakeCall(const PendingRequest& aPending,
                                   const UpstreamEntry& aUpstream) const;
   void OnResult(ForwardId aId, std::uint32_t aAttempt, HttpResult aResult);
-  void LogEnd(const Flight& aFlight, const HttpResult& aResult) const;
+  void LogAttemptEnd(const PendingRequest& aPending,
+                     const HttpResult& aResult) const;
   /// An attempt gave no whole answer.
   void OnAttemptFailed(ForwardId aId,
-                       Flight& aFlight,
+                       PendingRequest& aPending,
                        HttpEnd aEnd,
                        const std::string& aWhy);
-  void OnAnswer(ForwardId aId, Flight& aFlight, HttpResponse aResponse);
+  void OnAnswer(ForwardId aId,
+                PendingRequest& aPending,
+                HttpResponse aResponse);
   /// The head of an answer came.
   /// @returns whether it is believed
-  [[nodiscard]] bool OnHead(Flight& aFlight,
+  [[nodiscard]] bool OnHead(PendingRequest& aPending,
                             int aStatus,
                             const HttpHeaders& aHeaders);
   /// The answer to the present attempt was not believed.
-  void OnDoubted(ForwardId aId, Flight& aFlight, const HttpResult& aResult);
+  void OnRejected(ForwardId aId,
+                  PendingRequest& aPending,
+                  const HttpResult& aResult);
   /// @returns why an answer is not an upstream's own to this request; empty
   /// if it is
-  [[nodiscard]] std::string_view Doubt(const Flight& aFlight,
-                                       const HttpResponse& aHead) const;
+  [[nodiscard]] std::string_view RejectReason(const PendingRequest& aPending,
+                                              const HttpResponse& aHead) const;
   /// @returns how long the next attempt may take before another is tried
-  [[nodiscard]] static Duration PatienceOf(const Flight& aFlight);
-  void OnPatienceOver(ForwardId aId);
+  [[nodiscard]] static Duration AttemptTimeout(const PendingRequest& aPending);
+  void OnAttemptTimeout(ForwardId aId);
   void OnLimit(ForwardId aId);
-  [[nodiscard]] bool MayRetry(const Flight& aFlight) const;
+  [[nodiscard]] bool MayRetry(const PendingRequest& aPending) const;
   /// @returns when the present attempt was sent or last heard of
-  [[nodiscard]] static TimePoint LastHeard(const Flight& aFlight) noexcept
+  [[nodiscard]] static TimePoint LastProgress(
+    const PendingRequest& aPending) noexcept
   {
-    return aFlight.stream_ ? aFlight.stream_->lastProgress_ : aFlight.sent_;
+    return aPending.stream_ ? aPending.stream_->lastProgress_
+                            : aPending.sentAt_;
   }
   /// The present attempt has ended.
-  void EndAttempt(Flight& aFlight,
+  void EndAttempt(PendingRequest& aPending,
                   CallVerdict aVerdict,
                   CallEnd aEnd = CallEnd::Other);
   /// Breaks off the present attempt.
-  void Abandon(Flight& aFlight, CallEnd aEnd = CallEnd::Other);
+  void CancelAttempt(PendingRequest& aPending, CallEnd aEnd = CallEnd::Other);
   void Finish(ForwardId aId, ForwardOutcome aOutcome);
-  void GiveUp(ForwardId aId,
-              int aStatus,
-              std::string_view aWhy,
-              Duration aComeBack = kComeBack);
-  [[nodiscard]] Duration Left(const Flight& aFlight) const;
+  void FailRequest(ForwardId aId,
+                   int aStatus,
+                   std::string_view aWhy,
+                   Duration aRetryAfter = kRetryAfter);
+  [[nodiscard]] Duration TimeLeft(const PendingRequest& aPending) const;
   /// @returns whether another run of the request does no harm
-  [[nodiscard]] static bool Repeatable(const Flight& aFlight) noexcept;
-  [[nodiscard]] static bool Begun(const Flight& aFlight) noexcept
+  [[nodiscard]] static bool Repeatable(const PendingRequest& aPending) noexcept;
+  [[nodiscard]] static bool HeadSent(const PendingRequest& aPending) noexcept
   {
-    return aFlight.stream_ && aFlight.stream_->begun_;
+    return aPending.stream_ && aPending.stream_->headSent_;
   }
-  /// @returns the flight if that attempt is still its present one
-  [[nodiscard]] Flight* Present(ForwardId aId, std::uint32_t aAttempt);
+  /// @returns the pending if that attempt is still its present one
+  [[nodiscard]] PendingRequest* FindAttempt(ForwardId aId,
+                                            std::uint32_t aAttempt);
 
   // Streams.
   [[nodiscard]] std::unique_ptr<Stream> MakeStream(
     const ForwardRequest& aRequest) const;
-  void PrepareStream(ForwardId aId, Flight& aFlight, HttpCall& aCall);
-  void TakeHead(Flight& aFlight, HttpResponse aHead);
+  void PrepareStream(ForwardId aId, PendingRequest& aPending, HttpCall& aCall);
+  void OnStreamHead(PendingRequest& aPending, HttpResponse aHead);
   [[nodiscard]] bool OnData(ForwardId aId,
-                            Flight& aFlight,
+                            PendingRequest& aPending,
                             std::string_view aBytes);
-  void PassOn(ForwardId aId, Flight& aFlight, std::string aEvents);
-  void OnTaken(ForwardId aId, std::size_t aBytes, bool aOk);
-  void BeginReply(Flight& aFlight);
-  void OnStreamEnd(ForwardId aId, Flight& aFlight, HttpResult aResult);
-  void WatchProgress(ForwardId aId);
-  void OnProgressDue(ForwardId aId);
+  void ForwardEvents(ForwardId aId,
+                     PendingRequest& aPending,
+                     std::string aEvents);
+  void OnChunkWritten(ForwardId aId, std::size_t aBytes, bool aOk);
+  void SendHead(PendingRequest& aPending);
+  void OnStreamEnd(ForwardId aId, PendingRequest& aPending, HttpResult aResult);
+  void StartProgressTimer(ForwardId aId);
+  void OnProgressTimer(ForwardId aId);
 
   GatewayContext& host_;
   UpstreamTable& upstreamTable_;
-  RequestQuarantine crashes_;
+  RequestQuarantine quarantine_;
   UsageMeter usage_;
-  ForwardId last_ = 0;
-  std::unordered_map<ForwardId, Flight> flights_;
+  ForwardId lastId_ = 0;
+  std::unordered_map<ForwardId, PendingRequest> pending_;
 };
 
 /// Header fields that are passed on: all but those of one connection and
 /// those that the proxy sets itself.
 [[nodiscard]] HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders, const WireNames& aNames);
+ForwardableHeaders(const HttpHeaders& aHeaders, const WireNames& aNames);
 
 /// Makes a request name the customer whose it is, and nobody else: what the
 /// caller sent of that is dropped, and its key too.
@@ -239,6 +252,6 @@
 
 /// @returns a refusal that says when to come back
 [[nodiscard]] HttpResponse
-RefusedResponse(std::string_view aWhy, Duration aComeBack);
+RefusedResponse(std::string_view aWhy, Duration aRetryAfter);
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/forwarder_streams.cpp
+++ b/src/programs/gatewayd/forwarder_streams.cpp
@@ -25,9 +25,11 @@
 }
 
 void
-Forwarder::PrepareStream(ForwardId aId, Flight& aFlight, HttpCall& aCall)
+Forwarder::PrepareStream(ForwardId aId,
+                         PendingRequest& aPending,
+                         HttpCall& aCall)
 {
-  Stream& stream = *aFlight.stream_;
+  Stream& stream = *aPending.stream_;
   stream.relay_.StartAttempt();
   stream.window_.ForgetPause();
   stream.head_ = {};
@@ -40,39 +42,41 @@
     });
     aCall.headers_.push_back({ name, std::to_string(*last) });
   }
-  const std::uint32_t attempt = aFlight.attempt_;
+  const std::uint32_t attempt = aPending.attemptNumber_;
   aCall.onData_ = [this, aId, attempt](std::string_view aBytes) {
-    Flight* flight = Present(aId, attempt);
-    return flight != nullptr && OnData(aId, *flight, aBytes);
+    PendingRequest* pending = FindAttempt(aId, attempt);
+    return pending != nullptr && OnData(aId, *pending, aBytes);
   };
   aCall.mayReceive_ = [this, aId, attempt] {
-    Flight* flight = Present(aId, attempt);
-    return flight == nullptr || flight->stream_->window_.MayReceive();
+    PendingRequest* pending = FindAttempt(aId, attempt);
+    return pending == nullptr || pending->stream_->window_.MayReceive();
   };
-  if (aFlight.request_.resumable_) {
-    WatchProgress(aId);
+  if (aPending.request_.resumable_) {
+    StartProgressTimer(aId);
   }
 }
 
 void
-Forwarder::TakeHead(Flight& aFlight, HttpResponse aHead)
+Forwarder::OnStreamHead(PendingRequest& aPending, HttpResponse aHead)
 {
-  upstreamTable_.OnReceived(aFlight.upstream_, host_.Now());
-  Stream& stream = *aFlight.stream_;
+  upstreamTable_.OnReceived(aPending.upstream_, host_.Now());
+  Stream& stream = *aPending.stream_;
   stream.head_ = std::move(aHead);
   const int status = stream.head_.status_;
   const bool success = status >= 200 && status < 300;
   const auto type =
     FindHeader(stream.head_.headers_, "Content-Type").value_or("");
-  stream.events_ = success && aFlight.doubt_.empty() &&
+  stream.events_ = success && aPending.rejectReason_.empty() &&
                    type.substr(0, kEventStream.size()) == kEventStream;
 }
 
 bool
-Forwarder::OnData(ForwardId aId, Flight& aFlight, std::string_view aBytes)
+Forwarder::OnData(ForwardId aId,
+                  PendingRequest& aPending,
+                  std::string_view aBytes)
 {
-  Stream& stream = *aFlight.stream_;
-  if (!aFlight.doubt_.empty()) {
+  Stream& stream = *aPending.stream_;
+  if (!aPending.rejectReason_.empty()) {
     return false;
   }
   if (!stream.events_) {
@@ -82,74 +86,78 @@
   std::string events = stream.relay_.Feed(aBytes);
   const bool sound = stream.relay_.Fault().empty();
   if (!events.empty()) {
-    PassOn(aId, aFlight, std::move(events));
+    ForwardEvents(aId, aPending, std::move(events));
   }
   return sound;
 }
 
 void
-Forwarder::BeginReply(Flight& aFlight)
+Forwarder::SendHead(PendingRequest& aPending)
 {
-  Stream& stream = *aFlight.stream_;
-  if (!stream.begun_) {
-    stream.begun_ = true;
-    aFlight.request_.reply_->Begin(stream.head_.status_,
-                                   PassedHeaders(stream.head_.headers_, {}));
+  Stream& stream = *aPending.stream_;
+  if (!stream.headSent_) {
+    stream.headSent_ = true;
+    aPending.request_.reply_->Begin(
+      stream.head_.status_, ForwardableHeaders(stream.head_.headers_, {}));
   }
 }
 
 void
-Forwarder::PassOn(ForwardId aId, Flight& aFlight, std::string aEvents)
+Forwarder::ForwardEvents(ForwardId aId,
+                         PendingRequest& aPending,
+                         std::string aEvents)
 {
-  Stream& stream = *aFlight.stream_;
+  Stream& stream = *aPending.stream_;
   stream.lastProgress_ = host_.Now();
-  upstreamTable_.OnReceived(aFlight.upstream_, host_.Now());
-  if (!stream.begun_) {
-    NoteBegun(aFlight, host_.Now());
+  upstreamTable_.OnReceived(aPending.upstream_, host_.Now());
+  if (!stream.headSent_) {
+    MarkRunStarted(aPending, host_.Now());
     host_.Measures().Observe(
       "stream_first_event_seconds",
-      std::chrono::duration<double>(host_.Now() - aFlight.started_).count());
+      std::chrono::duration<double>(host_.Now() - aPending.startedAt_).count());
   }
-  BeginReply(aFlight);
+  SendHead(aPending);
   const std::size_t bytes = aEvents.size();
   stream.window_.OnSent(bytes);
-  aFlight.request_.reply_->Chunk(
+  aPending.request_.reply_->Chunk(
     std::move(aEvents),
-    [this, aId, bytes](bool aOk) { OnTaken(aId, bytes, aOk); });
+    [this, aId, bytes](bool aOk) { OnChunkWritten(aId, bytes, aOk); });
 }
 
 void
-Forwarder::OnTaken(ForwardId aId, std::size_t aBytes, bool aOk)
+Forwarder::OnChunkWritten(ForwardId aId, std::size_t aBytes, bool aOk)
 {
-  const auto it = flights_.find(aId);
-  if (it == flights_.end()) {
+  const auto it = pending_.find(aId);
+  if (it == pending_.end()) {
     return;
   }
   if (!aOk) {
     Cancel(aId);
     return;
   }
-  Flight& flight = it->second;
-  flight.stream_->window_.OnTaken(aBytes);
-  if (flight.stream_->window_.TakeResume() && flight.inFlight_) {
-    host_.Client().Resume(flight.call_);
+  PendingRequest& pending = it->second;
+  pending.stream_->window_.OnTaken(aBytes);
+  if (pending.stream_->window_.TakeResume() && pending.inFlight_) {
+    host_.Client().Resume(pending.call_);
   }
 }
 
 void
-Forwarder::OnStreamEnd(ForwardId aId, Flight& aFlight, HttpResult aResult)
+Forwarder::OnStreamEnd(ForwardId aId,
+                       PendingRequest& aPending,
+                       HttpResult aResult)
 {
-  Stream& stream = *aFlight.stream_;
+  Stream& stream = *aPending.stream_;
   const bool whole = aResult.end_ == HttpEnd::Whole;
   if (whole && !stream.events_) {
-    OnAnswer(aId, aFlight, std::move(stream.head_));
+    OnAnswer(aId, aPending, std::move(stream.head_));
     return;
   }
   if (whole && stream.relay_.Fault().empty() && !stream.relay_.Partial()) {
-    ++aFlight.ran_;
-    NoteBegun(aFlight, aFlight.sent_);
-    EndAttempt(aFlight, CallVerdict::Answered);
-    BeginReply(aFlight);
+    ++aPending.possibleRuns_;
+    MarkRunStarted(aPending, aPending.sentAt_);
+    EndAttempt(aPending, CallVerdict::Answered);
+    SendHead(aPending);
     HttpResponse head;
     head.status_ = stream.head_.status_;
     Finish(aId, { std::move(head), true });
@@ -160,38 +168,39 @@
   if (!stream.relay_.Fault().empty()) {
     why = stream.relay_.Fault();
   }
-  OnAttemptFailed(aId, aFlight, aResult.end_, why);
+  OnAttemptFailed(aId, aPending, aResult.end_, why);
 }
 
 void
-Forwarder::WatchProgress(ForwardId aId)
+Forwarder::StartProgressTimer(ForwardId aId)
 {
-  Flight& flight = flights_.at(aId);
-  const TimePoint due = flight.stream_->lastProgress_ + kStreamSilence;
-  host_.Timers().Cancel(flight.patienceTimer_);
-  flight.patienceTimer_ = host_.Timers().After(
-    due - host_.Now(), [this, aId] { OnProgressDue(aId); });
+  PendingRequest& pending = pending_.at(aId);
+  const TimePoint due = pending.stream_->lastProgress_ + kStreamStallTimeout;
+  host_.Timers().Cancel(pending.attemptTimer_);
+  pending.attemptTimer_ = host_.Timers().After(
+    due - host_.Now(), [this, aId] { OnProgressTimer(aId); });
 }
 
 void
-Forwarder::OnProgressDue(ForwardId aId)
+Forwarder::OnProgressTimer(ForwardId aId)
 {
-  const auto it = flights_.find(aId);
-  if (it == flights_.end() || !it->second.inFlight_) {
+  const auto it = pending_.find(aId);
+  if (it == pending_.end() || !it->second.inFlight_) {
     return;
   }
-  Flight& flight = it->second;
-  const std::uint32_t attempt = flight.attempt_;
-  if (host_.Now() - flight.stream_->lastProgress_ >=
-      Duration{ kStreamSilence }) {
-    flight.stream_->lastProgress_ = host_.Now();
-    if (Repeatable(flight) && flight.ran_ + 1 < flight.request_.maxAttempts_) {
-      OnPatienceOver(aId);
+  PendingRequest& pending = it->second;
+  const std::uint32_t attempt = pending.attemptNumber_;
+  if (host_.Now() - pending.stream_->lastProgress_ >=
+      Duration{ kStreamStallTimeout }) {
+    pending.stream_->lastProgress_ = host_.Now();
+    if (Repeatable(pending) &&
+        pending.possibleRuns_ + 1 < pending.request_.maxAttempts_) {
+      OnAttemptTimeout(aId);
     }
   }
   // Where there is no other upstream, the present one is waited for.
-  if (Present(aId, attempt) != nullptr) {
-    WatchProgress(aId);
+  if (FindAttempt(aId, attempt) != nullptr) {
+    StartProgressTimer(aId);
   }
 }
 
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -8,36 +8,36 @@
 
 /// A process that owns no job is missed by none but its peers, who notice
 /// themselves; renewals are priced calls.
-constexpr auto kIdleTtl = std::chrono::seconds(12);
+constexpr auto kIdleLeaseTtl = std::chrono::seconds(12);
 /// All processes may start together. Which of them relay is known once their
 /// signs of life are written; watches that open before go to the store itself,
 /// of each process all.
-constexpr auto kPlanSettles = std::chrono::milliseconds(500);
+constexpr auto kRelayPlanDelay = std::chrono::milliseconds(500);
 /// Watches of what the plan is not made of open after it is known.
-constexpr auto kPlanKnown = std::chrono::milliseconds(700);
+constexpr auto kWatchDelay = std::chrono::milliseconds(700);
 /// Largest body taken while no configuration says otherwise, in bytes.
 constexpr std::uint64_t kMaxBodyBytes = 32ULL << 20U;
-constexpr std::uint64_t kReadyBodyBytes = 1024;
+constexpr std::uint64_t kMaxReadyBodyBytes = 1024;
 /// Callers keep coming until the balancer has missed the readiness twice,
 /// asked once a second; so long the doors stay open.
-constexpr auto kLeaveTime = std::chrono::milliseconds(2600);
+constexpr auto kDrainTime = std::chrono::milliseconds(2600);
 /// A caller that came before any configuration was known comes back.
-constexpr auto kComeBack = std::chrono::milliseconds(300);
+constexpr auto kRetryAfter = std::chrono::milliseconds(300);
 
 LeasedKeyOptions
-LifeOptions(const GatewayContext& aHost)
+LivenessLeaseOptions(const GatewayContext& aHost)
 {
   return { job_keys::Liveness(aHost.Incarnation()),
            WriteLivenessRecord({ ZoneId{ aHost.Settings().zone_ },
                                  aHost.Settings().address_ + ":" +
                                    std::to_string(aHost.Settings().rpcPort_) }),
-           kIdleTtl,
+           kIdleLeaseTtl,
            false };
 }
 
 /// @returns the host without a port
 std::string
-HostName(const HttpRequest& aRequest)
+HostWithoutPort(const HttpRequest& aRequest)
 {
   const std::string_view host =
     FindHeader(aRequest.headers_, "Host").value_or("");
@@ -48,9 +48,9 @@
 void
 EndReply(HttpReply& aReply, ForwardOutcome aOutcome)
 {
-  if (!aOutcome.begun_) {
+  if (!aOutcome.headSent_) {
     HttpResponse response = std::move(aOutcome.response_);
-    response.headers_ = PassedHeaders(response.headers_, {});
+    response.headers_ = ForwardableHeaders(response.headers_, {});
     aReply.Send(std::move(response));
   } else if (aOutcome.answered_) {
     aReply.End();
@@ -61,9 +61,9 @@
 
 } // namespace
 
-Gateway::Gateway(GatewayContext& aHost, Doors& aDoors)
+Gateway::Gateway(GatewayContext& aHost, Doors& aListeners)
   : host_(aHost)
-  , doors_(aDoors)
+  , listeners_(aListeners)
   , reader_(aHost.Formats())
   , upstreamTable_(ZoneId{ aHost.Settings().zone_ },
                    SelectionPolicy{},
@@ -74,10 +74,10 @@
   , runner_(aHost, routes_, upstreamTable_, forwarder_, store_)
   , jobs_(aHost, store_, directory_, runner_)
   , usage_(aHost, forwarder_, runner_)
-  , life_(aHost.PlatformStore(),
-          aHost.Timers(),
-          aHost.LeaseClock(),
-          LifeOptions(aHost))
+  , livenessLease_(aHost.PlatformStore(),
+                   aHost.Timers(),
+                   aHost.LeaseClock(),
+                   LivenessLeaseOptions(aHost))
   , config_(aHost.PlatformStore(),
             aHost.Timers(),
             aHost.Formats().Places().config_)
@@ -97,16 +97,16 @@
     return Error{ ErrorKind::BadInput, "[gateway] lacks front or ready" };
   }
   auto readyServer =
-    doors_.Serve(*ready,
-                 kReadyBodyBytes,
-                 [this](const HttpRequest&, const HttpReplyPtr& aReply) {
-                   HandleReady(aReply);
-                 });
+    listeners_.Serve(*ready,
+                     kMaxReadyBodyBytes,
+                     [this](const HttpRequest&, const HttpReplyPtr& aReply) {
+                       HandleReady(aReply);
+                     });
   if (!readyServer) {
     return readyServer.error();
   }
   ready_ = std::move(readyServer).value();
-  auto frontServer = doors_.Serve(
+  auto frontServer = listeners_.Serve(
     *front, kMaxBodyBytes, [this](HttpRequest aRequest, HttpReplyPtr aReply) {
       Handle(std::move(aRequest), std::move(aReply));
     });
@@ -123,17 +123,17 @@
   FollowConfig();
   FollowUpstreams();
   runner_.onUnfinishedChanged_ = [this](bool aOwning) {
-    life_.SetTtl(aOwning ? host_.Settings().leaseTtl_ : kIdleTtl);
+    livenessLease_.SetTtl(aOwning ? host_.Settings().leaseTtl_ : kIdleLeaseTtl);
   };
-  life_.Start();
-  directory_.Start(kPlanSettles);
+  livenessLease_.Start();
+  directory_.Start(kRelayPlanDelay);
 }
 
 void
 Gateway::Stop()
 {
   stopping_ = true;
-  stopped_ = host_.Now();
+  stoppedAt_ = host_.Now();
   directory_.StopClaiming();
   jobs_.Stop(host_.Settings().grace_);
 }
@@ -141,14 +141,14 @@
 bool
 Gateway::Idle()
 {
-  if (host_.Now() - stopped_ < kLeaveTime) {
+  if (host_.Now() - stoppedAt_ < kDrainTime) {
     return false;
   }
   front_->StopAccepting();
   if (!jobs_.Idle() || front_->InFlight() != 0) {
     return false;
   }
-  life_.Release();
+  livenessLease_.Release();
   return true;
 }
 
@@ -157,27 +157,27 @@
 {
   config_.onAll_ = [this](const StoreRange& aRange) {
     for (const StoreRecord& record : aRange.records_) {
-      TakeConfig(record);
+      ApplyConfig(record);
     }
   };
   config_.onChange_ = [this](const StoreEvent& aEvent) {
     if (!aEvent.deleted_) {
-      TakeConfig(aEvent.record_);
+      ApplyConfig(aEvent.record_);
     }
   };
   config_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
   config_.onVouched_ = [this](Duration aAge) {
-    configVouched_ = std::max(configVouched_, host_.Now() - aAge);
-    configDoubted_ = false;
+    configConfirmedAt_ = std::max(configConfirmedAt_, host_.Now() - aAge);
+    configUnconfirmed_ = false;
     host_.Measures().Set("config_age_seconds",
                          std::chrono::duration<double>(aAge).count());
   };
-  config_.onDoubted_ = [this] { configDoubted_ = true; };
-  config_.Start(kPlanKnown);
+  config_.onDoubted_ = [this] { configUnconfirmed_ = true; };
+  config_.Start(kWatchDelay);
 }
 
 void
-Gateway::TakeConfig(const StoreRecord& aRecord)
+Gateway::ApplyConfig(const StoreRecord& aRecord)
 {
   if (aRecord.key_ != host_.Formats().Places().config_) {
     return;
@@ -210,24 +210,24 @@
 Gateway::FollowUpstreams()
 {
   upstreams_.onAll_ = [this](const StoreRange& aRange) {
-    TakeUpstreams(aRange);
+    ApplyUpstreamList(aRange);
   };
   upstreams_.onChange_ = [this](const StoreEvent& aEvent) {
     if (aEvent.deleted_) {
       const UpstreamId id = host_.Formats().UpstreamOf(aEvent.record_.key_);
       LogEvent(LogLevel::Info, "upstream_vanished", { { "id", id.Get() } });
       upstreamTable_.OnRemoved(id, host_.Now());
-      forwarder_.Crashes().OnVanished(id);
+      forwarder_.Quarantine().OnVanished(id);
     } else {
-      TakeUpstream(aEvent.record_);
+      ApplyUpstream(aEvent.record_);
     }
   };
   upstreams_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
-  upstreams_.Start(kPlanKnown);
+  upstreams_.Start(kWatchDelay);
 }
 
 void
-Gateway::TakeUpstream(const StoreRecord& aRecord)
+Gateway::ApplyUpstream(const StoreRecord& aRecord)
 {
   auto entry = reader_.Read(aRecord);
   if (!entry) {
@@ -255,13 +255,13 @@
              { { "id", id.Get() }, { "start", std::to_string(start.Get()) } });
   }
   // What is lost by a restart has been told by now.
-  forwarder_.Crashes().OnEntry(*entry);
+  forwarder_.Quarantine().OnEntry(*entry);
 }
 
 void
-Gateway::TakeUpstreams(const StoreRange& aRange)
+Gateway::ApplyUpstreamList(const StoreRange& aRange)
 {
-  upstreamsKnown_ = true;
+  upstreamsRead_ = true;
   std::vector<UpstreamEntry> entries = reader_.ReadAll(aRange);
   LogEvent(LogLevel::Info,
            "upstreams_read",
@@ -270,7 +270,7 @@
   for (const UpstreamId& id : upstreamTable_.OnList(entries, host_.Now())) {
     OnRestarted(id);
   }
-  forwarder_.Crashes().OnList(entries);
+  forwarder_.Quarantine().OnList(entries);
 }
 
 /// What was in progress at the incarnation before is lost, whether or not its
@@ -290,7 +290,7 @@
 /// none, the balancer goes on with all. Before the upstreams were read, all
 /// requests would be refused for want of one.
 std::string_view
-Gateway::WhyNotReady() const
+Gateway::NotReadyReason() const
 {
   if (stopping_) {
     return "stopping";
@@ -298,19 +298,19 @@
   if (!routes_.HasConfig()) {
     return "no configuration yet";
   }
-  if (!upstreamsKnown_) {
+  if (!upstreamsRead_) {
     return "no upstreams read yet";
   }
-  if (configDoubted_) {
+  if (configUnconfirmed_) {
     return "nobody vouches for the configuration";
   }
-  return life_.Reached() ? "" : "the store does not answer";
+  return livenessLease_.Reached() ? "" : "the store does not answer";
 }
 
 void
 Gateway::HandleReady(const HttpReplyPtr& aReply)
 {
-  const std::string_view why = WhyNotReady();
+  const std::string_view why = NotReadyReason();
   if (why.empty()) {
     aReply->Send(HttpResponse{ 200, {}, "ready\n" });
   } else {
@@ -322,14 +322,14 @@
 Gateway::Handle(HttpRequest aRequest, HttpReplyPtr aReply)
 {
   if (!routes_.HasConfig()) {
-    aReply->Send(RefusedResponse("no configuration yet", kComeBack));
+    aReply->Send(RefusedResponse("no configuration yet", kRetryAfter));
     return;
   }
-  const Route* route = routes_.Match(HostName(aRequest), aRequest.path_);
+  const Route* route = routes_.Match(HostWithoutPort(aRequest), aRequest.path_);
   if (route == nullptr) {
     auto query = host_.Formats().ReadQuery(aRequest);
     if (query) {
-      if (const auto customer = Admit(aRequest, false, *aReply)) {
+      if (const auto customer = Authenticate(aRequest, false, *aReply)) {
         query->customer_ = *customer;
         jobs_.Query(*query, aRequest, std::move(aReply));
       }
@@ -338,13 +338,13 @@
     LogEvent(
       LogLevel::Info,
       "no_route",
-      { { "host", HostName(aRequest) },
+      { { "host", HostWithoutPort(aRequest) },
         { "path", aRequest.path_ },
         { "revision", std::to_string(routes_.Config().revision_.Get()) } });
     aReply->Send(ErrorResponse(404, "no_route", "no route takes this path"));
     return;
   }
-  const auto customer = Admit(aRequest, route->public_, *aReply);
+  const auto customer = Authenticate(aRequest, route->public_, *aReply);
   if (!customer) {
     return;
   }
@@ -359,33 +359,35 @@
 }
 
 std::optional<CustomerId>
-Gateway::Admit(const HttpRequest& aRequest, bool aPublic, HttpReply& aReply)
+Gateway::Authenticate(const HttpRequest& aRequest,
+                      bool aPublic,
+                      HttpReply& aReply)
 {
   if (!routes_.RequiresKeys()) {
     return CustomerId{};
   }
   const GatewaySettings& settings = host_.Settings();
-  const Duration known = settings.keyLimit_ > Duration{ 0 }
-                           ? settings.keyLimit_
-                           : settings.configBound_ + settings.configStretch_;
+  const Duration keyLimit = settings.keyLimit_ > Duration{ 0 }
+                              ? settings.keyLimit_
+                              : settings.configBound_ + settings.configStretch_;
   const Duration age = ConfigAge();
-  const KeyCheck judgement =
+  const KeyCheck keyCheck =
     CheckKey(routes_.Customers(),
              FindHeader(aRequest.headers_, "Authorization").value_or(""),
              aPublic,
              age,
-             { settings.configBound_, known });
-  if (judgement.verdict_ == KeyVerdict::Granted) {
-    return judgement.customer_;
+             { settings.configBound_, keyLimit });
+  if (keyCheck.verdict_ == KeyVerdict::Granted) {
+    return keyCheck.customer_;
   }
-  const bool refused = judgement.verdict_ == KeyVerdict::Refused;
+  const bool refused = keyCheck.verdict_ == KeyVerdict::Refused;
   LogEvent(LogLevel::Info,
            refused ? "key_refused" : "key_uncertain",
            { { "id",
                std::string(
                  FindHeader(aRequest.headers_, host_.Formats().Names().attempt_)
                    .value_or("")) },
-             { "customer", judgement.customer_.Get() },
+             { "customer", keyCheck.customer_.Get() },
              { "revision", std::to_string(routes_.Config().revision_.Get()) },
              { "config_age_ms", std::to_string(WholeMillis(age)) } });
   host_.Measures().Count(refused ? "keys_refused_total"
@@ -395,7 +397,7 @@
       ErrorResponse(401, "unknown_key", "no customer holds the key sent"));
   } else {
     aReply.Send(
-      RefusedResponse("the configuration known here is old", kComeBack));
+      RefusedResponse("the configuration known here is old", kRetryAfter));
   }
   return std::nullopt;
 }
@@ -414,7 +416,7 @@
   request.target_ = aRequest.query_.empty()
                       ? std::move(aRequest.path_)
                       : aRequest.path_ + "?" + aRequest.query_;
-  request.headers_ = PassedHeaders(aRequest.headers_, names);
+  request.headers_ = ForwardableHeaders(aRequest.headers_, names);
   if (routes_.RequiresKeys()) {
     SetCustomer(request.headers_, names, aCustomer);
   }
--- a/src/programs/gatewayd/gateway.hpp
+++ b/src/programs/gatewayd/gateway.hpp
@@ -15,7 +15,7 @@
 {
 public:
   /// Both outlive this.
-  Gateway(GatewayContext& aHost, Doors& aDoors);
+  Gateway(GatewayContext& aHost, Doors& aListeners);
 
   /// Opens the doors; on any thread.
   /// @returns an error naming an address that cannot be bound
@@ -28,9 +28,9 @@
 private:
   void FollowConfig();
   void FollowUpstreams();
-  void TakeConfig(const StoreRecord& aRecord);
-  void TakeUpstream(const StoreRecord& aRecord);
-  void TakeUpstreams(const StoreRange& aRange);
+  void ApplyConfig(const StoreRecord& aRecord);
+  void ApplyUpstream(const StoreRecord& aRecord);
+  void ApplyUpstreamList(const StoreRange& aRange);
   void OnRestarted(const UpstreamId& aId);
   void Handle(HttpRequest aRequest, HttpReplyPtr aReply);
   void HandleReady(const HttpReplyPtr& aReply);
@@ -41,19 +41,18 @@
   /// Judges the key of a request and answers it unless it may go on.
   /// @param aPublic the request needs no key
   /// @returns the customer of a request that may go on
-  [[nodiscard]] std::optional<CustomerId> Admit(const HttpRequest& aRequest,
-                                                bool aPublic,
-                                                HttpReply& aReply);
+  [[nodiscard]] std::optional<CustomerId>
+  Authenticate(const HttpRequest& aRequest, bool aPublic, HttpReply& aReply);
   /// @returns how old the knowledge of the configuration is
   [[nodiscard]] Duration ConfigAge() const noexcept
   {
-    return host_.Now() - configVouched_;
+    return host_.Now() - configConfirmedAt_;
   }
   /// @returns empty if it is ready
-  [[nodiscard]] std::string_view WhyNotReady() const;
+  [[nodiscard]] std::string_view NotReadyReason() const;
 
   GatewayContext& host_;
-  Doors& doors_;
+  Doors& listeners_;
   RouteTable routes_;
   UpstreamReader reader_;
   UpstreamTable upstreamTable_;
@@ -63,18 +62,18 @@
   JobRunner runner_;
   JobApi jobs_;
   UsageService usage_;
-  LeasedKey life_;
+  LeasedKey livenessLease_;
   PrefixFollower config_;
   PrefixFollower upstreams_;
   Random random_;
   /// The configuration known here was the newest then.
-  TimePoint configVouched_;
+  TimePoint configConfirmedAt_;
   /// No source vouches for the configuration.
-  bool configDoubted_ = false;
+  bool configUnconfirmed_ = false;
   /// Whether a whole reading of the upstreams came, also one of none.
-  bool upstreamsKnown_ = false;
+  bool upstreamsRead_ = false;
   bool stopping_ = false;
-  TimePoint stopped_;
+  TimePoint stoppedAt_;
   std::unique_ptr<HttpServer> front_;
   std::unique_ptr<HttpServer> ready_;
 };
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -81,8 +81,8 @@
                         const OwnedJob& aJob,
                         const TrackedUpstream& aPicked) const
 {
-  const RequestQuarantine& crashes = forwarder_.Crashes();
-  if (crashes.IsApart(aFingerprint, aPicked.entry_.id_)) {
+  const RequestQuarantine& crashes = forwarder_.Quarantine();
+  if (crashes.IsIsolatedAt(aFingerprint, aPicked.entry_.id_)) {
     return aPicked;
   }
   const JobSpec& spec = aJob.ledger_.Spec();
@@ -94,7 +94,7 @@
                                  aPicked.entry_.id_ },
                                host_.Now());
   const bool better = other != nullptr && other->removedAt_ == kNever &&
-                      crashes.IsApart(aFingerprint, other->entry_.id_);
+                      crashes.IsIsolatedAt(aFingerprint, other->entry_.id_);
   return better ? *other : aPicked;
 }
 
@@ -107,7 +107,7 @@
   const JobItem& item = aJob.ledger_.Spec().items_[aItem];
   const Fingerprint fingerprint =
     FingerprintOf("POST", aJob.host_, item.path_, item.body_);
-  if (forwarder_.Crashes().Judge(fingerprint).refused_) {
+  if (forwarder_.Quarantine().Judge(fingerprint).refused_) {
     // The item waits; other items of its job continue.
     return false;
   }
@@ -139,7 +139,7 @@
   };
   aJob.ledger_.OnStarted(aItem);
   upstreamTable_.OnStart(run.upstream_, host_.Now());
-  forwarder_.Crashes().OnSent(fingerprint, run.upstream_);
+  forwarder_.Quarantine().OnSent(fingerprint, run.upstream_);
   run.call_ =
     host_.Client().Send(std::move(call), [this, id](const HttpResult& aResult) {
       OnRunEnd(id, aResult);
@@ -252,11 +252,11 @@
   // events is not counted. A text takes 7 s, so an unrelated crash hits the
   // same text twice now and then.
   const bool broken = aResult.end_ == HttpEnd::Broken && aRun.events_ == 0;
-  forwarder_.Crashes().OnEnd(aRun.fingerprint_,
-                             aRun.upstream_,
-                             ran      ? CallEnd::Answered
-                             : broken ? CallEnd::Broken
-                                      : CallEnd::Other);
+  forwarder_.Quarantine().OnEnd(aRun.fingerprint_,
+                                aRun.upstream_,
+                                ran      ? CallEnd::Answered
+                                : broken ? CallEnd::Broken
+                                         : CallEnd::Other);
   if (complete && aRun.status_ == 200 && !aRun.parser_.Partial() &&
       aRun.events_ > 0) {
     upstreamTable_.OnEnd(aRun.upstream_, CallVerdict::Answered, now);
@@ -327,7 +327,7 @@
   job.runs_.erase(run.item_);
   job.ledger_.OnInterrupted(run.item_);
   upstreamTable_.OnEnd(run.upstream_, aVerdict, host_.Now());
-  forwarder_.Crashes().OnEnd(run.fingerprint_, run.upstream_, aEnd);
+  forwarder_.Quarantine().OnEnd(run.fingerprint_, run.upstream_, aEnd);
   host_.Client().Cancel(run.call_);
 }
 
@@ -440,7 +440,7 @@
   std::vector<RunId> slow;
   for (const auto& [id, run] : runs_) {
     const Duration allowed = run.events_ == 0 ? Duration{ kFirstEventTimeout }
-                                              : Duration{ kStreamSilence };
+                                              : Duration{ kStreamStallTimeout };
     if (now - run.lastProgress_ > allowed) {
       idle.push_back(id);
     } else if (ShouldMove(run)) {
--- a/src/programs/gatewayd/request_quarantine.cpp
+++ b/src/programs/gatewayd/request_quarantine.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// A call between zones takes some tens of milliseconds.
-constexpr auto kTellTimeout = std::chrono::milliseconds(500);
+constexpr auto kUpdateTimeout = std::chrono::milliseconds(500);
 /// Whoever does not answer is told again after this time; a process that is
 /// cut off for longer hears of a request when it reports it itself.
-constexpr auto kTellPause = std::chrono::seconds(1);
-constexpr std::uint32_t kTells = 4;
+constexpr auto kUpdateRetryDelay = std::chrono::seconds(1);
+constexpr std::uint32_t kMaxUpdateTries = 4;
 
 std::string
 Hex(Fingerprint aFingerprint)
@@ -23,7 +23,7 @@
 }
 
 std::string
-NamesOf(const SuspicionUpdate& aUpdate)
+UpstreamNames(const SuspicionUpdate& aUpdate)
 {
   std::string names;
   for (const CrashReport& crash : aUpdate.crashes_) {
@@ -47,9 +47,10 @@
 RequestQuarantine::RequestQuarantine(GatewayContext& aHost)
   : host_(aHost)
 {
-  host_.Peers().Serve(
-    RpcTopic::Suspicion,
-    [this](const RpcCall& aCall, const RpcDone& aDone) { Take(aCall, aDone); });
+  host_.Peers().Serve(RpcTopic::Suspicion,
+                      [this](const RpcCall& aCall, const RpcDone& aDone) {
+                        OnUpdates(aCall, aDone);
+                      });
 }
 
 QuarantineVerdict
@@ -68,9 +69,10 @@
                               const QuarantineVerdict& aVerdict)
 {
   const TimePoint now = host_.Now();
-  std::erase_if(logged_,
+  std::erase_if(loggedUntil_,
                 [&](const auto& aEntry) { return aEntry.second <= now; });
-  if (!logged_.try_emplace(aFingerprint, now + aVerdict.retryAfter_).second) {
+  if (!loggedUntil_.try_emplace(aFingerprint, now + aVerdict.retryAfter_)
+         .second) {
     return;
   }
   for (const SuspicionUpdate& known :
@@ -79,7 +81,7 @@
              "quarantined",
              { { "fingerprint", Hex(aFingerprint) },
                { "crashes", std::to_string(known.crashes_.size()) },
-               { "upstreams", NamesOf(known) },
+               { "upstreams", UpstreamNames(known) },
                { "for_ms", std::to_string(WholeMillis(known.refusedFor_)) } });
   }
   host_.Measures().Set("requests_quarantined",
@@ -87,8 +89,8 @@
 }
 
 bool
-RequestQuarantine::IsApart(Fingerprint aFingerprint,
-                           const UpstreamId& aUpstream) const
+RequestQuarantine::IsIsolatedAt(Fingerprint aFingerprint,
+                                const UpstreamId& aUpstream) const
 {
   const auto avoid = watch_.UpstreamsToAvoid(aFingerprint);
   return std::find(avoid.begin(), avoid.end(), aUpstream) == avoid.end();
@@ -136,27 +138,27 @@
     LogEvent(LogLevel::Warn,
              update.cleared_ ? "suspect_cleared" : "suspect",
              { { "fingerprint", Hex(update.fingerprint_) },
-               { "upstreams", NamesOf(update) } });
+               { "upstreams", UpstreamNames(update) } });
   }
   const std::string body = Encode(aUpdates);
   for (const std::string& address : host_.Relays().Peers()) {
-    Tell(address, body, kTells);
+    SendUpdates(address, body, kMaxUpdateTries);
   }
 }
 
 void
-RequestQuarantine::Tell(const std::string& aAddress,
-                        const std::string& aBody,
-                        std::uint32_t aTries)
+RequestQuarantine::SendUpdates(const std::string& aAddress,
+                               const std::string& aBody,
+                               std::uint32_t aTriesLeft)
 {
   RpcCall call;
   call.topic_ = RpcTopic::Suspicion;
-  call.timeout_ = kTellTimeout;
+  call.timeout_ = kUpdateTimeout;
   call.body_ = aBody;
   host_.Peers().Call(
     aAddress,
     std::move(call),
-    [this, aAddress, aBody, aTries](const RpcReply& aReply) {
+    [this, aAddress, aBody, aTriesLeft](const RpcReply& aReply) {
       const auto known = aReply ? DecodeSuspicionUpdates(aReply.value())
                                 : Result<CrashWatch::Updates>(aReply.error());
       if (known) {
@@ -168,18 +170,19 @@
       LogEvent(LogLevel::Info,
                "suspicion_untold",
                { { "peer", aAddress },
-                 { "tries_left", std::to_string(aTries - 1) },
+                 { "tries_left", std::to_string(aTriesLeft - 1) },
                  { "error", known.error().message_ } });
-      if (aTries > 1) {
-        host_.Timers().After(kTellPause, [this, aAddress, aBody, aTries] {
-          Tell(aAddress, aBody, aTries - 1);
-        });
+      if (aTriesLeft > 1) {
+        host_.Timers().After(kUpdateRetryDelay,
+                             [this, aAddress, aBody, aTriesLeft] {
+                               SendUpdates(aAddress, aBody, aTriesLeft - 1);
+                             });
       }
     });
 }
 
 void
-RequestQuarantine::Take(const RpcCall& aCall, const RpcDone& aDone)
+RequestQuarantine::OnUpdates(const RpcCall& aCall, const RpcDone& aDone)
 {
   const auto updates = DecodeSuspicionUpdates(aCall.body_);
   if (!updates) {
--- a/src/programs/gatewayd/request_quarantine.hpp
+++ b/src/programs/gatewayd/request_quarantine.hpp
@@ -36,10 +36,11 @@
   [[nodiscard]] QuarantineVerdict Judge(Fingerprint aFingerprint);
   /// @returns whether no other request that may be a culprit is in progress at
   /// an upstream, if this one may be a culprit
-  [[nodiscard]] bool IsApart(Fingerprint aFingerprint,
-                             const UpstreamId& aUpstream) const;
+  [[nodiscard]] bool IsIsolatedAt(Fingerprint aFingerprint,
+                                  const UpstreamId& aUpstream) const;
   /// @returns upstreams that are better not chosen
-  [[nodiscard]] std::vector<UpstreamId> Avoid(Fingerprint aFingerprint) const
+  [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
+    Fingerprint aFingerprint) const
   {
     return watch_.UpstreamsToAvoid(aFingerprint);
   }
@@ -58,17 +59,17 @@
 private:
   /// Logs what was found and tells the other gateways.
   void Publish(const CrashWatch::Updates& aUpdates);
-  void Tell(const std::string& aAddress,
-            const std::string& aBody,
-            std::uint32_t aTries);
-  void Take(const RpcCall& aCall, const RpcDone& aDone);
+  void SendUpdates(const std::string& aAddress,
+                   const std::string& aBody,
+                   std::uint32_t aTriesLeft);
+  void OnUpdates(const RpcCall& aCall, const RpcDone& aDone);
   /// Logs a quarantine once.
   void LogRefusal(Fingerprint aFingerprint, const QuarantineVerdict& aVerdict);
 
   GatewayContext& host_;
   CrashWatch watch_;
   /// Ends of the quarantines that were logged.
-  std::map<Fingerprint, TimePoint> logged_;
+  std::map<Fingerprint, TimePoint> loggedUntil_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/usage_service.cpp
+++ b/src/programs/gatewayd/usage_service.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A gateway that does not tell in this time is asked again in the next round.
-constexpr auto kOtherTimeout = std::chrono::milliseconds(400);
+constexpr auto kPeerTimeout = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -25,13 +25,13 @@
 }
 
 GatewayUsage
-UsageService::Own(const UsageRequest& aAsk)
+UsageService::OwnUsage(const UsageRequest& aRequest)
 {
   GatewayUsage usage;
   usage.incarnation_ = host_.Incarnation();
-  usage.clockAhead_ = host_.WallTime() - aAsk.now_.sinceEpoch_;
+  usage.clockAhead_ = host_.WallTime() - aRequest.now_.sinceEpoch_;
   usage.counts_ =
-    forwarder_.Usage().Counts(host_.Now(), aAsk.now_, aAsk.window_);
+    forwarder_.Usage().Counts(host_.Now(), aRequest.now_, aRequest.window_);
   usage.demand_ = runner_.SlotsWanted();
   usage.modelDemand_ = runner_.TakeModelDemand();
   usage.longRuns_ = runner_.LongRuns();
@@ -44,36 +44,36 @@
 void
 UsageService::Serve(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto ask = DecodeUsageRequest(aCall.body_);
-  if (!ask) {
+  const auto request = DecodeUsageRequest(aCall.body_);
+  if (!request) {
     LogEvent(LogLevel::Warn,
              "usage_ask_unreadable",
-             { { "error", ask.error().message_ } });
-    aDone(ask.error());
+             { { "error", request.error().message_ } });
+    aDone(request.error());
     return;
   }
   const auto round = std::make_shared<Round>();
-  round->answers_.push_back(Own(ask.value()));
-  round->left_ = ask.value().others_.size();
+  round->answers_.push_back(OwnUsage(request.value()));
+  round->outstanding_ = request.value().others_.size();
   round->done_ = aDone;
-  if (round->left_ == 0) {
+  if (round->outstanding_ == 0) {
     aDone(EncodeUsageReply(round->answers_));
     return;
   }
-  for (const std::string& other : ask.value().others_) {
-    AskOther(other, ask.value(), round);
+  for (const std::string& other : request.value().others_) {
+    RequestUsage(other, request.value(), round);
   }
 }
 
 void
-UsageService::AskOther(const std::string& aAddress,
-                       const UsageRequest& aAsk,
-                       const std::shared_ptr<Round>& aRound)
+UsageService::RequestUsage(const std::string& aAddress,
+                           const UsageRequest& aRequest,
+                           const std::shared_ptr<Round>& aRound)
 {
   RpcCall call;
   call.topic_ = RpcTopic::Usage;
-  call.timeout_ = kOtherTimeout;
-  call.body_ = EncodeUsageRequest({ aAsk.now_, aAsk.window_, {} });
+  call.timeout_ = kPeerTimeout;
+  call.body_ = EncodeUsageRequest({ aRequest.now_, aRequest.window_, {} });
   host_.Peers().Call(
     aAddress, std::move(call), [aAddress, aRound](const RpcReply& aReply) {
       auto answers = aReply ? DecodeUsageReply(aReply.value())
@@ -87,7 +87,7 @@
                  "usage_not_told",
                  { { "by", aAddress }, { "error", answers.error().message_ } });
       }
-      if (--aRound->left_ == 0) {
+      if (--aRound->outstanding_ == 0) {
         aRound->done_(EncodeUsageReply(aRound->answers_));
       }
     });
--- a/src/programs/gatewayd/usage_service.hpp
+++ b/src/programs/gatewayd/usage_service.hpp
@@ -21,15 +21,15 @@
   struct Round
   {
     std::vector<GatewayUsage> answers_;
-    std::size_t left_ = 0;
+    std::size_t outstanding_ = 0;
     RpcDone done_;
   };
 
   void Serve(const RpcCall& aCall, const RpcDone& aDone);
-  [[nodiscard]] GatewayUsage Own(const UsageRequest& aAsk);
-  void AskOther(const std::string& aAddress,
-                const UsageRequest& aAsk,
-                const std::shared_ptr<Round>& aRound);
+  [[nodiscard]] GatewayUsage OwnUsage(const UsageRequest& aRequest);
+  void RequestUsage(const std::string& aAddress,
+                    const UsageRequest& aRequest,
+                    const std::shared_ptr<Round>& aRound);
 
   GatewayContext& host_;
   const Forwarder& forwarder_;
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -90,26 +90,26 @@
   }
   void Begin(int aStatus, HttpHeaders aHeaders) override
   {
-    ++begins_;
+    ++beginCalls_;
     status_ = aStatus;
     headers_ = std::move(aHeaders);
   }
   void Chunk(std::string aData, std::function<void(bool)> aWritten) override
   {
     body_ += aData;
-    waiting_.push_back(std::move(aWritten));
+    pendingWrites_.push_back(std::move(aWritten));
   }
   void End() override { ended_ = true; }
   void Abort() override { aborted_ = true; }
   void OnCallerGone(std::function<void()> aGone) override
   {
-    gone_ = std::move(aGone);
+    onCallerGone_ = std::move(aGone);
   }
 
   /// All chunks so far were taken, or the connection was lost.
-  void Written(bool aOk)
+  void CompleteWrites(bool aOk)
   {
-    for (const auto& written : std::exchange(waiting_, {})) {
+    for (const auto& written : std::exchange(pendingWrites_, {})) {
       if (written) {
         written(aOk);
       }
@@ -120,13 +120,13 @@
   int status_ = 0;
   HttpHeaders headers_;
   std::string body_;
-  int begins_ = 0;
+  int beginCalls_ = 0;
   bool ended_ = false;
   bool aborted_ = false;
-  std::function<void()> gone_;
+  std::function<void()> onCallerGone_;
 
 private:
-  std::vector<std::function<void(bool)>> waiting_;
+  std::vector<std::function<void(bool)>> pendingWrites_;
 };
 
 /// Calls between processes that find nobody.
--- a/tests/gateway_site.hpp
+++ b/tests/job_gateway.hpp
@@ -23,7 +23,7 @@
 }
 
 /// The parts; the test starts the directory.
-struct Site
+struct JobGateway
 {
   LinkedPeers peers_;
   FakeClient client_;
@@ -38,7 +38,9 @@
   JobRunner runner_{ host_, routes_, upstreamTable_, forwarder_, store_ };
   JobApi jobs_{ host_, store_, directory_, runner_ };
 
-  Site(GatewayFakes& aFakes, Store& aStore, const std::string& aIncarnation)
+  JobGateway(GatewayFakes& aFakes,
+             Store& aStore,
+             const std::string& aIncarnation)
     : relays_(aIncarnation)
     , host_({ &aFakes.settings_,
               aFakes.platform_.get(),
--- a/tests/job_simulation.hpp
+++ b/tests/job_simulation.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "daemon/leased_key.hpp"
-#include "gateway_site.hpp"
+#include "job_gateway.hpp"
 #include "marjoramtally/base/random.hpp"
 #include "reached_store.hpp"
 
@@ -19,7 +19,7 @@
 
   std::string incarnation_;
   ReachedStore store_;
-  Site site_;
+  JobGateway site_;
   LeasedKey liveness_;
   /// When a fault last affected it.
   TimePoint lastFaultAt_;
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -2,7 +2,7 @@
 /// jobs and answers learn of it.
 
 #include "gateway_fixture.hpp"
-#include "gateway_site.hpp"
+#include "job_gateway.hpp"
 #include "log_capture.hpp"
 #include "programs/gatewayd/gateway.hpp"
 
@@ -144,7 +144,7 @@
     void StopAccepting() override {}
     [[nodiscard]] std::uint64_t InFlight() const noexcept override { return 0; }
   };
-  struct Front final : Doors
+  struct Listeners final : Doors
   {
     [[nodiscard]] Result<std::unique_ptr<HttpServer>> Serve(
       const ListenAddress& aAddress,
@@ -157,7 +157,7 @@
     std::map<std::uint16_t, HttpHandler> handlers_;
   };
 
-  Front doors_;
+  Listeners listeners_;
   std::unique_ptr<Gateway> gateway_;
 
   KeyedGateway()
@@ -171,11 +171,11 @@
     store_.Put(
       platform_->Places().upstreams_ + "e",
       R"({"service":"s","address":"e:1","zone":"z1","slots":9,"state":"ready"})");
-    gateway_ = std::make_unique<Gateway>(context_, doors_);
+    gateway_ = std::make_unique<Gateway>(context_, listeners_);
     REQUIRE(gateway_->Open());
     gateway_->Start();
     timers_.Advance(2s);
-    Vouch();
+    ConfirmConfig();
   }
 
   void PutConfig(int aVersion, const std::string& aKeysOfA)
@@ -194,7 +194,7 @@
   }
 
   /// A source of the watch says that nothing has changed.
-  void Vouch(Duration aAge = {})
+  void ConfirmConfig(Duration aAge = {})
   {
     store_.TellBatch(platform_->Places().config_,
                      { false, false, store_.Revision(), {}, aAge });
@@ -212,7 +212,7 @@
     request.headers_.push_back({ "Host", "h" });
     request.body_ = aBody;
     auto reply = std::make_shared<FakeReply>();
-    doors_.handlers_.at(1)(std::move(request), reply);
+    listeners_.handlers_.at(1)(std::move(request), reply);
     return reply;
   }
 
@@ -313,13 +313,13 @@
   REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->status_ == 503);
   SECTION("until a source vouches for what is known")
   {
-    gateway.Vouch();
+    gateway.ConfirmConfig();
     REQUIRE_FALSE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->ended_);
     REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-x") })->status_ == 401);
   }
   SECTION("and a source that has not heard for long itself does not count")
   {
-    gateway.Vouch(3100ms);
+    gateway.ConfirmConfig(3100ms);
     REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-x") })->status_ == 503);
   }
 }
--- a/tests/test_forward_streams.cpp
+++ b/tests/test_forward_streams.cpp
@@ -101,7 +101,7 @@
   CHECK_FALSE(fix.outcome_);
   fix.End(HttpEnd::Whole);
   REQUIRE(fix.outcome_);
-  CHECK(fix.outcome_->begun_);
+  CHECK(fix.outcome_->headSent_);
   CHECK(fix.outcome_->answered_);
 }
 
@@ -120,7 +120,7 @@
   REQUIRE(fix.Data(Event(3, "half")));
   fix.End(HttpEnd::Whole);
   CHECK(fix.reply_->body_ == Event(1) + Event(2) + Event(3, "half"));
-  CHECK(fix.reply_->begins_ == 1);
+  CHECK(fix.reply_->beginCalls_ == 1);
   CHECK(FindHeader(fix.reply_->headers_, fix.platform_->Names().signature_) ==
         "s1");
   CHECK(fix.outcome_->answered_);
@@ -135,7 +135,7 @@
   fix.End(HttpEnd::Broken);
   REQUIRE(fix.outcome_);
   CHECK(fix.client_.sent_ == 1);
-  CHECK(fix.outcome_->begun_);
+  CHECK(fix.outcome_->headSent_);
   CHECK_FALSE(fix.outcome_->answered_);
   CHECK_FALSE(fix.outcome_->notRun_);
 }
@@ -149,7 +149,7 @@
   fix.End(HttpEnd::Broken);
   REQUIRE(fix.outcome_);
   CHECK(fix.reply_->status_ == 0);
-  CHECK_FALSE(fix.outcome_->begun_);
+  CHECK_FALSE(fix.outcome_->headSent_);
   CHECK(fix.outcome_->response_.status_ == 502);
 }
 
@@ -245,7 +245,7 @@
   fix.client_.Answer(fix.client_.Oldest(),
                      fix.Answer(fix.client_.Oldest(), 400, "no such prompt"));
   REQUIRE(fix.outcome_);
-  CHECK_FALSE(fix.outcome_->begun_);
+  CHECK_FALSE(fix.outcome_->headSent_);
   CHECK(fix.outcome_->response_.status_ == 400);
   CHECK(fix.outcome_->response_.body_ == "no such prompt");
 }
@@ -290,7 +290,7 @@
   REQUIRE(fix.Data(Event(1)));
   fix.timers_.Advance(10s);
   REQUIRE(fix.outcome_);
-  CHECK(fix.outcome_->begun_);
+  CHECK(fix.outcome_->headSent_);
   CHECK_FALSE(fix.outcome_->answered_);
   CHECK(fix.client_.cancelled_ == 1);
 }
@@ -301,7 +301,7 @@
   fix.Start(true);
   fix.Head();
   REQUIRE(fix.Data(Event(1)));
-  fix.reply_->Written(false);
+  fix.reply_->CompleteWrites(false);
   CHECK(fix.client_.cancelled_ == 1);
   CHECK_FALSE(fix.outcome_);
 }
@@ -318,7 +318,7 @@
   }
   CHECK(number > 200);
   CHECK(fix.client_.resumed_ == 0);
-  fix.reply_->Written(true);
+  fix.reply_->CompleteWrites(true);
   CHECK(fix.client_.resumed_ == 1);
   CHECK(fix.Call().mayReceive_());
 }
--- a/tests/test_forwarder.cpp
+++ b/tests/test_forwarder.cpp
@@ -41,7 +41,7 @@
       [this](ForwardOutcome aOutcome) { outcome_ = std::move(aOutcome); });
   }
 
-  SentCall Take() { return client_.open_.front(); }
+  SentCall FirstCall() { return client_.open_.front(); }
 
   std::string Header(const SentCall& aCall, const std::string& aName)
   {
@@ -55,7 +55,7 @@
 {
   Fixture fix;
   fix.Start();
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   const WireNames& names = fix.platform_->Names();
   REQUIRE(call.call_.url_ == "http://a:1/p/1?q=2");
   REQUIRE(call.call_.method_ == "POST");
@@ -73,20 +73,21 @@
   Fixture fix;
   fix.Start();
   fix.timers_.Advance(300ms);
-  fix.client_.Fail(fix.Take(), HttpEnd::Broken);
-  REQUIRE(fix.Header(fix.Take(), fix.platform_->Names().deadline_) == "1700");
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::Broken);
+  REQUIRE(fix.Header(fix.FirstCall(), fix.platform_->Names().deadline_) ==
+          "1700");
 }
 
 TEST_CASE("an answer that belongs to another request is not passed on")
 {
   Fixture fix;
   fix.Start();
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   HttpResponse other = fix.Answer(call, 200, "other");
   other.headers_.front().value_ = "id0";
   fix.client_.Answer(call, other);
   REQUIRE_FALSE(fix.outcome_);
-  const SentCall second = fix.Take();
+  const SentCall second = fix.FirstCall();
   REQUIRE(second.call_.url_.starts_with("http://b:1"));
   fix.client_.Answer(second, fix.Answer(second, 200, "mine"));
   REQUIRE(fix.outcome_->response_.body_ == "mine");
@@ -105,12 +106,12 @@
 {
   Fixture fix;
   fix.Start();
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   HttpResponse second = fix.Answer(call, 200, "ok");
   second.headers_.erase(second.headers_.begin());
   fix.client_.Answer(call, second);
   REQUIRE_FALSE(fix.outcome_);
-  const SentCall elsewhere = fix.Take();
+  const SentCall elsewhere = fix.FirstCall();
   REQUIRE(elsewhere.call_.url_.starts_with("http://b:1"));
   fix.client_.Answer(elsewhere, fix.Answer(elsewhere, 200, "mine"));
   REQUIRE(fix.outcome_->response_.body_ == "mine");
@@ -120,7 +121,7 @@
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 3);
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   HttpResponse refusal = fix.NotRun(call, 503);
   refusal.headers_.erase(refusal.headers_.begin());
   fix.client_.Answer(call, refusal);
@@ -139,7 +140,7 @@
   fix.forwarder_.Start(std::move(request), [&fix](ForwardOutcome aOutcome) {
     fix.outcome_ = std::move(aOutcome);
   });
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   REQUIRE(call.call_.newConnection_);
   HttpResponse answer = fix.Answer(call, 200, "ok");
   answer.headers_.erase(answer.headers_.begin());
@@ -151,7 +152,7 @@
 {
   Fixture fix;
   fix.Start(RouteKind::Idempotent, 1);
-  const SentCall call = fix.Take();
+  const SentCall call = fix.FirstCall();
   HttpResponse unsignedAnswer = fix.Answer(call, 200, "x");
   unsignedAnswer.headers_.pop_back();
   fix.client_.Answer(call, unsignedAnswer);
@@ -163,8 +164,8 @@
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 1);
-  fix.client_.Answer(fix.Take(), fix.NotRun(fix.Take(), 503));
-  const SentCall second = fix.Take();
+  fix.client_.Answer(fix.FirstCall(), fix.NotRun(fix.FirstCall(), 503));
+  const SentCall second = fix.FirstCall();
   fix.client_.Answer(second, fix.Answer(second, 200, "ok"));
   REQUIRE(fix.outcome_->response_.status_ == 200);
 }
@@ -172,22 +173,22 @@
 TEST_CASE("where no upstream ran it, the refusal says when to come back")
 {
   Fixture fix;
-  const TimePoint begun = fix.clock_.Now();
+  const TimePoint startedAt = fix.clock_.Now();
   fix.Start();
-  fix.client_.Answer(fix.Take(), fix.NotRun(fix.Take(), 503));
-  fix.client_.Answer(fix.Take(), fix.NotRun(fix.Take(), 429));
+  fix.client_.Answer(fix.FirstCall(), fix.NotRun(fix.FirstCall(), 503));
+  fix.client_.Answer(fix.FirstCall(), fix.NotRun(fix.FirstCall(), 429));
   REQUIRE(fix.outcome_->response_.status_ == 503);
   REQUIRE(fix.outcome_->notRun_);
   REQUIRE(FindHeader(fix.outcome_->response_.headers_, "Retry-After"));
-  REQUIRE(fix.clock_.Now() == begun);
+  REQUIRE(fix.clock_.Now() == startedAt);
 }
 
 TEST_CASE("what may have run once is never sent again nor called not run")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 3);
-  REQUIRE(fix.Take().call_.atMostOnce_);
-  fix.client_.Fail(fix.Take(), HttpEnd::Broken);
+  REQUIRE(fix.FirstCall().call_.atMostOnce_);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::Broken);
   REQUIRE(fix.client_.sent_ == 1);
   REQUIRE(fix.outcome_->response_.status_ == 502);
   REQUIRE_FALSE(fix.outcome_->notRun_);
@@ -197,9 +198,9 @@
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 1);
-  fix.client_.Fail(fix.Take(), HttpEnd::NotSent);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::NotSent);
   REQUIRE(fix.client_.sent_ == 2);
-  fix.client_.Fail(fix.Take(), HttpEnd::NotSent);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::NotSent);
   REQUIRE(fix.outcome_->response_.status_ == 503);
 }
 
@@ -208,8 +209,8 @@
   Fixture fix;
   fix.AddUpstream("c", "svc");
   fix.Start(RouteKind::Idempotent, 2);
-  fix.client_.Fail(fix.Take(), HttpEnd::Broken);
-  fix.client_.Fail(fix.Take(), HttpEnd::Broken);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::Broken);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::Broken);
   REQUIRE(fix.client_.sent_ == 2);
   REQUIRE(fix.outcome_->response_.status_ == 502);
 }
@@ -218,10 +219,10 @@
 {
   Fixture fix;
   fix.Start();
-  const SentCall first = fix.Take();
+  const SentCall first = fix.FirstCall();
   fix.client_.Answer(first, fix.Answer(first, 500, "e1"));
   REQUIRE_FALSE(fix.outcome_);
-  const SentCall second = fix.Take();
+  const SentCall second = fix.FirstCall();
   fix.client_.Answer(second, fix.Answer(second, 500, "e2"));
   REQUIRE(fix.outcome_->answered_);
   REQUIRE(fix.outcome_->response_.status_ == 500);
@@ -257,7 +258,7 @@
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce);
   fix.timers_.Advance(1990ms);
-  fix.client_.Fail(fix.Take(), HttpEnd::TimedOut);
+  fix.client_.Fail(fix.FirstCall(), HttpEnd::TimedOut);
   REQUIRE(fix.outcome_);
   REQUIRE(fix.outcome_->response_.status_ == 504);
   REQUIRE_FALSE(fix.outcome_->notRun_);
@@ -279,9 +280,9 @@
 {
   Fixture fix;
   fix.Start();
-  fix.client_.Answer(fix.Take(), fix.Answer(fix.Take(), 421, ""));
+  fix.client_.Answer(fix.FirstCall(), fix.Answer(fix.FirstCall(), 421, ""));
   fix.outcome_.reset();
-  const SentCall second = fix.Take();
+  const SentCall second = fix.FirstCall();
   REQUIRE(second.call_.url_.starts_with("http://b:1"));
   REQUIRE(fix.upstreamTable_.Pick(ServiceId{ "svc" }, {}, fix.clock_.Now())
             ->entry_.id_ == UpstreamId{ "b" });
@@ -290,16 +291,17 @@
 TEST_CASE("headers of one connection and those set here are not passed on")
 {
   const WireNames names = MakePlatform()->Names();
-  const HttpHeaders passed = PassedHeaders({ { "Connection", "close" },
-                                             { "KEEP-ALIVE", "5" },
-                                             { "Transfer-Encoding", "chunked" },
-                                             { "Content-Length", "3" },
-                                             { names.deadline_, "9" },
-                                             { names.expectUpstream_, "x" },
-                                             { "X-Own", "1" } },
-                                           names);
-  REQUIRE(passed.size() == 1);
-  REQUIRE(passed.front().name_ == "X-Own");
+  const HttpHeaders forwardable =
+    ForwardableHeaders({ { "Connection", "close" },
+                         { "KEEP-ALIVE", "5" },
+                         { "Transfer-Encoding", "chunked" },
+                         { "Content-Length", "3" },
+                         { names.deadline_, "9" },
+                         { names.expectUpstream_, "x" },
+                         { "X-Own", "1" } },
+                       names);
+  REQUIRE(forwardable.size() == 1);
+  REQUIRE(forwardable.front().name_ == "X-Own");
 }
 
 TEST_CASE("a request at an upstream that has started again goes elsewhere")
@@ -309,8 +311,8 @@
   fix.timers_.Advance(600ms);
   fix.forwarder_.OnUpstreamRestarted(UpstreamId{ "a" });
   REQUIRE(fix.client_.cancelled_ == 1);
-  REQUIRE(fix.Take().call_.url_ == "http://b:1/p/1?q=2");
-  fix.client_.Answer(fix.Take(), fix.Answer(fix.Take(), 200, "ok"));
+  REQUIRE(fix.FirstCall().call_.url_ == "http://b:1/p/1?q=2");
+  fix.client_.Answer(fix.FirstCall(), fix.Answer(fix.FirstCall(), 200, "ok"));
   REQUIRE(fix.outcome_->answered_);
 }
 
@@ -346,7 +348,8 @@
     fix.timers_.Advance(10ms);
     const auto& open = fix.client_.open_;
     if (tick == 70 + 120 - 1 && !open.empty()) {
-      fix.client_.Answer(fix.Take(), fix.Answer(fix.Take(), 200, "ok"));
+      fix.client_.Answer(fix.FirstCall(),
+                         fix.Answer(fix.FirstCall(), 200, "ok"));
     }
   }
   REQUIRE(fix.client_.sent_ == 2);
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -26,7 +26,7 @@
 };
 
 /// Keeps the handlers of doors by their ports.
-class FakeDoors final : public Doors
+class FakeListeners final : public Doors
 {
 public:
   [[nodiscard]] Result<std::unique_ptr<HttpServer>> Serve(
@@ -43,7 +43,7 @@
 
 struct Fixture : GatewayFakes
 {
-  FakeDoors doors_;
+  FakeListeners listeners_;
   std::unique_ptr<Gateway> gateway_;
 
   Fixture()
@@ -52,23 +52,23 @@
     settings_.front_ = "127.0.0.1:1";
     settings_.ready_ = "127.0.0.1:2";
     store_.Put(platform_->Places().config_, kConfig);
-    gateway_ = std::make_unique<Gateway>(context_, doors_);
+    gateway_ = std::make_unique<Gateway>(context_, listeners_);
     REQUIRE(gateway_->Open());
   }
 
-  std::shared_ptr<FakeReply> Knock(std::uint16_t aPort)
+  std::shared_ptr<FakeReply> SendRequest(std::uint16_t aPort)
   {
     HttpRequest request;
     request.method_ = "GET";
     request.path_ = "/x/1";
     request.headers_ = { { "Host", "h" } };
     auto reply = std::make_shared<FakeReply>();
-    doors_.handlers_.at(aPort)(std::move(request), reply);
+    listeners_.handlers_.at(aPort)(std::move(request), reply);
     return reply;
   }
 
-  std::shared_ptr<FakeReply> Ready() { return Knock(2); }
-  std::shared_ptr<FakeReply> Call() { return Knock(1); }
+  std::shared_ptr<FakeReply> Ready() { return SendRequest(2); }
+  std::shared_ptr<FakeReply> Call() { return SendRequest(1); }
 };
 
 } // namespace
@@ -80,9 +80,9 @@
 TEST_CASE("a gateway that has not read the upstreams yet is not ready")
 {
   Fixture fix;
-  const std::string& place = fix.platform_->Places().upstreams_;
-  fix.store_.Put(place + "e", kUpstream);
-  fix.store_.unreadable_ = place;
+  const std::string& prefix = fix.platform_->Places().upstreams_;
+  fix.store_.Put(prefix + "e", kUpstream);
+  fix.store_.unreadable_ = prefix;
   fix.gateway_->Start();
   fix.timers_.Advance(50ms);
   const auto early = fix.Ready();
@@ -130,17 +130,17 @@
 TEST_CASE("a gateway whose watch nobody vouches for is not ready")
 {
   Fixture fix;
-  const std::string& place = fix.platform_->Places().config_;
+  const std::string& prefix = fix.platform_->Places().config_;
   fix.gateway_->Start();
   fix.timers_.Advance(2s);
   REQUIRE(fix.Ready()->status_ == 200);
-  fix.store_.TellBatch(place, { false, true, 0, {} });
+  fix.store_.TellBatch(prefix, { false, true, 0, {} });
   const auto reply = fix.Ready();
   REQUIRE(reply->status_ == 503);
   REQUIRE(reply->body_.find("nobody vouches") != std::string::npos);
   // It serves what reaches it all the same, and is ready again with the first
   // answer of a source.
   fix.Call();
-  fix.store_.TellBatch(place, { false, false, fix.store_.Revision(), {} });
+  fix.store_.TellBatch(prefix, { false, false, fix.store_.Revision(), {} });
   REQUIRE(fix.Ready()->status_ == 200);
 }
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -1,7 +1,7 @@
 /// The HTTP interface for jobs on fakes, and what a stopping process does with
 /// its jobs.
 
-#include "gateway_site.hpp"
+#include "job_gateway.hpp"
 
 #include <catch2/catch.hpp>
 
--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -1,7 +1,7 @@
 /// Jobs submitted at one gateway and owned by another, and how each answers
 /// requests about the other's jobs.
 
-#include "gateway_site.hpp"
+#include "job_gateway.hpp"
 #include "marjoramtally/connection/job_messages.hpp"
 #include "marjoramtally/process.hpp"
 
@@ -16,8 +16,8 @@
 /// Two gateways and a model whose jobs the second is to own.
 struct Pair : GatewayFakes
 {
-  Site first_{ *this, store_, "one~1" };
-  Site second_{ *this, store_, "two~1" };
+  JobGateway first_{ *this, store_, "one~1" };
+  JobGateway second_{ *this, store_, "two~1" };
   std::string model_;
 
   Pair()
--- a/tests/test_request_quarantine.cpp
+++ b/tests/test_request_quarantine.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr auto kDeadly = "deadly";
+constexpr auto kCrashingBody = "deadly";
 /// From a crash to the end of the registration: three heartbeats of 1.2 s.
-constexpr auto kSilence = 3600ms;
+constexpr auto kRegistrationLag = 3600ms;
 /// Calls between gateways and the settling of reports.
-constexpr auto kSettled = 500ms;
+constexpr auto kReportSettleTime = 500ms;
 
-/// One gateway, and upstreams that die of the deadly request.
-struct Site : GatewayFakes
+/// One gateway, and upstreams that die of the crashing request.
+struct TestGateway : GatewayFakes
 {
   LinkedPeers linked_;
   GatewayContext host_{ { &settings_,
@@ -38,25 +38,25 @@
   std::vector<ForwardOutcome> outcomes_;
   int crashes_ = 0;
 
-  explicit Site(int aUpstreams = 8)
+  explicit TestGateway(int aUpstreams = 8)
   {
     timers_.Advance(1h);
     for (int i = 0; i < aUpstreams; ++i) {
-      Boot("u" + std::to_string(i), "svc");
+      StartUpstream("u" + std::to_string(i), "svc");
     }
   }
 
-  void Boot(const std::string& aId, const std::string& aService)
+  void StartUpstream(const std::string& aId, const std::string& aService)
   {
     AddUpstream(aId, aService, 5);
-    forwarder_.Crashes().OnEntry(
+    forwarder_.Quarantine().OnEntry(
       upstreamTable_.Find(UpstreamId{ aId })->entry_);
   }
 
-  void Vanish(const std::string& aId)
+  void RemoveUpstream(const std::string& aId)
   {
     upstreamTable_.OnRemoved(UpstreamId{ aId }, host_.Now());
-    forwarder_.Crashes().OnVanished(UpstreamId{ aId });
+    forwarder_.Quarantine().OnVanished(UpstreamId{ aId });
   }
 
   void Start(const std::string& aBody,
@@ -78,39 +78,39 @@
     });
   }
 
-  static std::string PlaceOf(const SentCall& aCall)
+  static std::string UpstreamOf(const SentCall& aCall)
   {
     const std::string& url = aCall.call_.url_;
     return url.substr(7, url.find(':', 7) - 7);
   }
 
   /// An upstream dies: its connections break, its registration ends later.
-  void Die(const std::string& aId)
+  void Crash(const std::string& aId)
   {
     ++crashes_;
     std::vector<SentCall> lost;
     for (const SentCall& call : client_.open_) {
-      if (PlaceOf(call) == aId) {
+      if (UpstreamOf(call) == aId) {
         lost.push_back(call);
       }
     }
     for (const SentCall& call : lost) {
       client_.Fail(call, HttpEnd::Broken);
     }
-    timers_.After(kSilence, [this, aId] { Vanish(aId); });
+    timers_.After(kRegistrationLag, [this, aId] { RemoveUpstream(aId); });
   }
 
-  /// The upstreams run what they have, the deadly request first.
+  /// The upstreams run what they have, the crashing request first.
   void Serve()
   {
     while (!client_.open_.empty()) {
-      const auto deadly = std::find_if(
+      const auto crashing = std::find_if(
         client_.open_.begin(), client_.open_.end(), [](const SentCall& aCall) {
-          return aCall.call_.body_ == kDeadly;
+          return aCall.call_.body_ == kCrashingBody;
         });
       timers_.Advance(10ms);
-      if (deadly != client_.open_.end()) {
-        Die(PlaceOf(*deadly));
+      if (crashing != client_.open_.end()) {
+        Crash(UpstreamOf(*crashing));
         continue;
       }
       const SentCall call = client_.Oldest();
@@ -120,14 +120,14 @@
 };
 
 /// Jobs of two items, of which one kills its upstream.
-struct JobSite : Site
+struct TestJobGateway : TestGateway
 {
   RouteTable routes_;
   JobStore jobs_{ host_ };
   JobRunner runner_{ host_, routes_, upstreamTable_, forwarder_, jobs_ };
 
-  explicit JobSite(int aUpstreams)
-    : Site(0)
+  explicit TestJobGateway(int aUpstreams)
+    : TestGateway(0)
   {
     RoutingConfig config;
     config.revision_ = ConfigRevision{ 1 };
@@ -142,7 +142,7 @@
     config.routes_ = { route };
     routes_.Apply(config);
     for (int i = 0; i < aUpstreams; ++i) {
-      Boot("e" + std::to_string(i), "lm");
+      StartUpstream("e" + std::to_string(i), "lm");
     }
   }
 
@@ -174,8 +174,8 @@
     while (!client_.open_.empty()) {
       const SentCall call = client_.Oldest();
       timers_.Advance(10ms);
-      if (call.call_.body_ == kDeadly) {
-        Die(PlaceOf(call));
+      if (call.call_.body_ == kCrashingBody) {
+        Crash(UpstreamOf(call));
       } else {
         HttpResponse response = Answer(call, 200, "id: 1\ndata: a\n\n");
         response.headers_.push_back({ platform_->Names().versions_, "5" });
@@ -185,7 +185,7 @@
   }
 
   /// Lets registrations end and items be sent for a while.
-  void Pass(Duration aTime)
+  void AdvanceAndServe(Duration aTime)
   {
     for (Duration passed{}; passed < aTime; passed += 100ms) {
       timers_.Advance(100ms);
@@ -199,27 +199,27 @@
 
 TEST_CASE("a request that crashes upstreams is stopped after two")
 {
-  Site site;
+  TestGateway gateway;
   for (int round = 0; round < 2; ++round) {
-    site.Start(kDeadly);
-    site.Serve();
-    REQUIRE(site.outcomes_.back().response_.status_ == 502);
-    site.timers_.Advance(kSilence + kSettled);
+    gateway.Start(kCrashingBody);
+    gateway.Serve();
+    REQUIRE(gateway.outcomes_.back().response_.status_ == 502);
+    gateway.timers_.Advance(kRegistrationLag + kReportSettleTime);
   }
-  REQUIRE(site.crashes_ == 2);
+  REQUIRE(gateway.crashes_ == 2);
   for (int round = 0; round < 5; ++round) {
-    const std::size_t sent = site.client_.sent_;
-    site.Start(kDeadly);
-    REQUIRE(site.client_.sent_ == sent);
-    const ForwardOutcome& told = site.outcomes_.back();
-    REQUIRE(told.response_.status_ == 503);
-    REQUIRE(told.notRun_);
-    REQUIRE(told.response_.body_.find("quarantined") != std::string::npos);
-    REQUIRE(FindHeader(told.response_.headers_, "Retry-After"));
+    const std::size_t sent = gateway.client_.sent_;
+    gateway.Start(kCrashingBody);
+    REQUIRE(gateway.client_.sent_ == sent);
+    const ForwardOutcome& refused = gateway.outcomes_.back();
+    REQUIRE(refused.response_.status_ == 503);
+    REQUIRE(refused.notRun_);
+    REQUIRE(refused.response_.body_.find("quarantined") != std::string::npos);
+    REQUIRE(FindHeader(refused.response_.headers_, "Retry-After"));
   }
-  site.Start("mild");
-  site.Serve();
-  REQUIRE(site.outcomes_.back().response_.status_ == 200);
+  gateway.Start("mild");
+  gateway.Serve();
+  REQUIRE(gateway.outcomes_.back().response_.status_ == 200);
 }
 
 /// A request that crashes its upstream does so as it begins. A trainer's step
@@ -227,54 +227,54 @@
 /// after the other, when they died of something else.
 TEST_CASE("an item that was at work when upstreams died is not suspected")
 {
-  JobSite site(6);
-  site.Accept(JobId{ "j1" }, { "unlucky" });
+  TestJobGateway gateway(6);
+  gateway.Accept(JobId{ "j1" }, { "unlucky" });
   int event = 0;
   for (int crash = 0; crash < 3; ++crash) {
-    REQUIRE(site.client_.open_.size() == 1);
-    const SentCall call = site.client_.Oldest();
-    HttpResponse head = site.Answer(call, 200, "");
-    head.headers_.push_back({ site.platform_->Names().versions_, "5" });
+    REQUIRE(gateway.client_.open_.size() == 1);
+    const SentCall call = gateway.client_.Oldest();
+    HttpResponse head = gateway.Answer(call, 200, "");
+    head.headers_.push_back({ gateway.platform_->Names().versions_, "5" });
     REQUIRE(call.call_.onHead_(head.status_, head.headers_));
     // The registration of the one that died before ends meanwhile.
     for (int i = 0; i < 42; ++i) {
       const std::string id = std::to_string(++event);
       REQUIRE(call.call_.onData_("id: " + id + "\ndata: a\n\n"));
-      site.timers_.Advance(100ms);
-      site.runner_.OnUpstreamsChanged();
+      gateway.timers_.Advance(100ms);
+      gateway.runner_.OnUpstreamsChanged();
     }
-    site.Die(JobSite::PlaceOf(call));
+    gateway.Crash(TestJobGateway::UpstreamOf(call));
   }
-  site.timers_.Advance(100ms);
-  REQUIRE(site.client_.open_.size() == 1);
+  gateway.timers_.Advance(100ms);
+  REQUIRE(gateway.client_.open_.size() == 1);
 }
 
 TEST_CASE("an item that crashes upstreams waits, others of its job go on")
 {
-  JobSite site(6);
-  site.Accept(JobId{ "j1" }, { kDeadly, "mild1", "mild2" });
-  site.ServeItems();
-  site.Pass(15s);
+  TestJobGateway gateway(6);
+  gateway.Accept(JobId{ "j1" }, { kCrashingBody, "mild1", "mild2" });
+  gateway.ServeItems();
+  gateway.AdvanceAndServe(15s);
   // One call after the other until the end of the registrations tells.
-  REQUIRE(site.crashes_ >= 2);
-  const int crashes = site.crashes_;
-  site.Boot("f0", "lm");
-  site.Boot("f1", "lm");
-  site.Pass(5s);
-  REQUIRE(site.crashes_ == crashes);
-  const JobLedger& ledger = *site.runner_.Find(JobId{ "j1" });
+  REQUIRE(gateway.crashes_ >= 2);
+  const int crashes = gateway.crashes_;
+  gateway.StartUpstream("f0", "lm");
+  gateway.StartUpstream("f1", "lm");
+  gateway.AdvanceAndServe(5s);
+  REQUIRE(gateway.crashes_ == crashes);
+  const JobLedger& ledger = *gateway.runner_.Find(JobId{ "j1" });
   REQUIRE(ledger.Listed().size() == 2);
   // In a later job as well.
-  site.Accept(JobId{ "j2" }, { kDeadly, "mild3" });
-  site.Pass(2s);
-  REQUIRE(site.crashes_ == crashes);
-  REQUIRE(site.runner_.Find(JobId{ "j2" })->Listed().size() == 1);
+  gateway.Accept(JobId{ "j2" }, { kCrashingBody, "mild3" });
+  gateway.AdvanceAndServe(2s);
+  REQUIRE(gateway.crashes_ == crashes);
+  REQUIRE(gateway.runner_.Find(JobId{ "j2" })->Listed().size() == 1);
 }
 
 TEST_CASE("gateways tell each other of crashes, and of nothing else")
 {
-  Site one;
-  Site other;
+  TestGateway one;
+  TestGateway other;
   one.linked_.others_["other:1"] = &other.linked_;
   other.linked_.others_["one:1"] = &one.linked_;
   one.relays_.OnAlive("other~1", { ZoneId{ "z1" }, "other:1" });
@@ -287,102 +287,103 @@
     one.timers_.Advance(100ms);
   }
   REQUIRE(one.linked_.calls_ == 0);
-  one.Start(kDeadly);
+  one.Start(kCrashingBody);
   one.Serve();
-  one.timers_.Advance(kSilence + kSettled);
+  one.timers_.Advance(kRegistrationLag + kReportSettleTime);
   REQUIRE(one.linked_.calls_ == 1);
   // The other one's first crash is the second.
-  other.Start(kDeadly);
+  other.Start(kCrashingBody);
   other.Serve();
-  other.timers_.Advance(kSilence + kSettled);
-  other.Start(kDeadly);
+  other.timers_.Advance(kRegistrationLag + kReportSettleTime);
+  other.Start(kCrashingBody);
   REQUIRE(other.outcomes_.back().response_.status_ == 503);
-  one.timers_.Advance(kSettled);
-  one.Start(kDeadly);
+  one.timers_.Advance(kReportSettleTime);
+  one.Start(kCrashingBody);
   REQUIRE(one.outcomes_.back().response_.status_ == 503);
   REQUIRE(one.crashes_ + other.crashes_ == 2);
 }
 
 TEST_CASE("a gateway that could not be told is told again")
 {
-  Site one;
-  Site other;
+  TestGateway one;
+  TestGateway other;
   one.linked_.others_["other:1"] = &other.linked_;
   one.relays_.OnAlive("other~1", { ZoneId{ "z1" }, "other:1" });
   one.linked_.cut_ = true;
   for (int round = 0; round < 2; ++round) {
-    one.Start(kDeadly);
+    one.Start(kCrashingBody);
     one.Serve();
-    one.timers_.Advance(kSilence + kSettled);
+    one.timers_.Advance(kRegistrationLag + kReportSettleTime);
   }
   one.linked_.cut_ = false;
   // All reports of the first crash were lost; those of the second name both.
   one.timers_.Advance(3s);
-  other.timers_.Advance(kSettled);
-  other.Start(kDeadly);
+  other.timers_.Advance(kReportSettleTime);
+  other.Start(kCrashingBody);
   REQUIRE(other.outcomes_.size() == 1);
   REQUIRE(other.outcomes_.back().response_.status_ == 503);
 }
 
 TEST_CASE("calls that die beside the culprit are served and cleared")
 {
-  Site site;
+  TestGateway gateway;
   for (int round = 0; round < 6; ++round) {
     if (round < 3) {
-      site.Start(kDeadly);
+      gateway.Start(kCrashingBody);
     }
     for (int i = 0; i < 12; ++i) {
-      site.Start("mild" + std::to_string(i), RouteKind::Idempotent, 4);
+      gateway.Start("mild" + std::to_string(i), RouteKind::Idempotent, 4);
     }
-    site.Serve();
-    for (std::size_t i = site.outcomes_.size() - 12; i < site.outcomes_.size();
+    gateway.Serve();
+    for (std::size_t i = gateway.outcomes_.size() - 12;
+         i < gateway.outcomes_.size();
          ++i) {
-      REQUIRE(site.outcomes_.at(i).response_.status_ == 200);
+      REQUIRE(gateway.outcomes_.at(i).response_.status_ == 200);
     }
-    site.timers_.Advance(kSilence + kSettled);
+    gateway.timers_.Advance(kRegistrationLag + kReportSettleTime);
   }
-  REQUIRE(site.crashes_ == 2);
+  REQUIRE(gateway.crashes_ == 2);
 }
 
 TEST_CASE(
   "an idempotent request is stopped within its attempts once it is known")
 {
-  Site site;
-  site.Start(kDeadly, RouteKind::Idempotent, 3);
-  site.Serve();
+  TestGateway gateway;
+  gateway.Start(kCrashingBody, RouteKind::Idempotent, 3);
+  gateway.Serve();
   // All attempts went out before any registration ended.
-  REQUIRE(site.crashes_ == 3);
-  site.timers_.Advance(kSilence + kSettled);
-  site.Start(kDeadly, RouteKind::Idempotent, 3);
-  REQUIRE(site.outcomes_.back().response_.status_ == 503);
-  REQUIRE(site.crashes_ == 3);
+  REQUIRE(gateway.crashes_ == 3);
+  gateway.timers_.Advance(kRegistrationLag + kReportSettleTime);
+  gateway.Start(kCrashingBody, RouteKind::Idempotent, 3);
+  REQUIRE(gateway.outcomes_.back().response_.status_ == 503);
+  REQUIRE(gateway.crashes_ == 3);
 }
 
 TEST_CASE("items whose connections were reset all start again at once")
 {
-  JobSite site(2);
-  site.Accept(JobId{ "j1" }, { "m1", "m2", "m3", "m4", "m5", "m6" });
-  REQUIRE(site.client_.open_.size() == 6);
-  const std::deque<SentCall> reset = site.client_.open_;
+  TestJobGateway gateway(2);
+  gateway.Accept(JobId{ "j1" }, { "m1", "m2", "m3", "m4", "m5", "m6" });
+  REQUIRE(gateway.client_.open_.size() == 6);
+  const std::deque<SentCall> reset = gateway.client_.open_;
   for (const SentCall& call : reset) {
-    site.client_.Fail(call, HttpEnd::Broken);
+    gateway.client_.Fail(call, HttpEnd::Broken);
   }
-  site.timers_.Advance(3500ms);
-  site.runner_.OnUpstreamsChanged();
-  REQUIRE(site.client_.open_.size() == 6);
+  gateway.timers_.Advance(3500ms);
+  gateway.runner_.OnUpstreamsChanged();
+  REQUIRE(gateway.client_.open_.size() == 6);
 }
 
 TEST_CASE("a single upstream still gets all requests that broke there")
 {
-  Site site(1);
+  TestGateway gateway(1);
   for (int i = 0; i < 4; ++i) {
-    site.Start("mild" + std::to_string(i));
+    gateway.Start("mild" + std::to_string(i));
   }
-  while (!site.client_.open_.empty()) {
-    site.client_.Fail(site.client_.Oldest(), HttpEnd::Broken);
+  while (!gateway.client_.open_.empty()) {
+    gateway.client_.Fail(gateway.client_.Oldest(), HttpEnd::Broken);
   }
   for (int i = 0; i < 4; ++i) {
-    site.Start("mild" + std::to_string(i));
+    gateway.Start("mild" + std::to_string(i));
   }
-  REQUIRE(site.client_.open_.size() == 4);
+  REQUIRE(gateway.client_.open_.size() == 4);
 }
