--- a/src/programs/gatewayd/forwarder.cpp
+++ b/src/programs/gatewayd/forwarder.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Share of the objective after which an idempotent request is sent to
-/// another upstream.
+/// Share of the latency objective after which an attempt of an idempotent
+/// request is cancelled in favour of another upstream.
 constexpr double kAttemptTimeoutShare = 0.7;
 constexpr auto kMinAttemptTimeout = std::chrono::milliseconds(80);
-/// Patience grows by this factor with each attempt that was cut short: what
-/// takes long at one upstream is likelier long by itself than unlucky twice.
-/// With equal timeout a scoring call of 0.6 s and more was cut at each of 20
-/// attempts over 25 s, and its trainer's step lost.
+/// The attempt timeout grows by this factor with each attempt that timed out,
+/// because a request that is slow at one upstream is more likely slow by itself
+/// than slow by chance twice. With a constant timeout, a scoring call of 0.6 s
+/// or more was cancelled at each of 20 attempts over 25 s, and its trainer's
+/// step was lost.
 constexpr std::int64_t kAttemptTimeoutGrowth = 3;
-/// Less time than this is not worth an attempt.
+/// Minimum time left for which another attempt is sent.
 constexpr auto kMinAttemptTime = std::chrono::milliseconds(15);
 constexpr std::string_view kTimeLimitText = "the time limit passed";
 constexpr std::string_view kQuarantinedText =
@@ -85,7 +86,7 @@
   for (const ForwardId id : lost) {
     const auto it = pending_.find(id);
     if (it == pending_.end()) {
-      // The end of another has cancelled it.
+      // Cancelled by the callback of another request in this loop.
       continue;
     }
     PendingRequest& pending = it->second;
@@ -93,7 +94,7 @@
              "attempt_lost",
              { { "id", pending.request_.attempt_ },
                { "upstream", aUpstream.Get() },
-               { "why", "the upstream has started again" } });
+               { "why", "the upstream has restarted" } });
     ++pending.possibleRuns_;
     MarkRunStarted(pending, pending.sentAt_);
     CancelAttempt(pending, CallEnd::Broken);
@@ -199,9 +200,9 @@
   call.connectTimeout_ =
     std::min<Duration>(kUpstreamConnectTimeout, call.timeout_);
   call.atMostOnce_ = !Repeatable(aPending);
-  // What tells a late second answer apart is the id. Where there is none, or
-  // where it went out before and its failure may come twice, the connection
-  // must be one that brought nothing yet.
+  // A late second answer to an earlier call on the same connection is
+  // recognised by its id. Without an id, or with one that was sent before and
+  // whose failure may arrive twice, a new connection is required.
   call.newConnection_ = request.failedBefore_ || request.attempt_.empty();
   return call;
 }
@@ -286,8 +287,8 @@
   EndAttempt(aPending, CallVerdict::Abandoned, aEnd);
 }
 
-/// Which request an answer names and which connection brought it: where answers
-/// come in the wrong place, this tells whose they are.
+/// Logs which request an answer names and on which connection it arrived, so
+/// that misdelivered answers can be traced.
 void
 Forwarder::LogAttemptEnd(const PendingRequest& aPending,
                          const HttpResult& aResult) const
@@ -356,9 +357,10 @@
 {
   const WireNames& names = host_.Formats().Names();
   const auto echo = FindHeader(aHead.headers_, names.attempt_);
-  // Upstreams name the request in every answer of theirs. A second answer to
-  // an earlier call of the connection may come late and without an id; taken
-  // for this request's it gave callers and trainers another run's signature.
+  // Upstreams echo the request's id in every answer. A second answer to an
+  // earlier call on the connection may arrive late and without an id; accepted
+  // as the answer to this request, it gave callers and trainers the signature
+  // of another run.
   if (echo.value_or("") != aPending.request_.attempt_) {
     return echo ? "belongs to another request" : "does not name the request";
   }
@@ -417,7 +419,7 @@
   MarkRunStarted(aPending, aPending.sentAt_);
   EndAttempt(aPending, CallVerdict::Answered);
   aPending.failures_ += aResponse.status_ == 500 ? 1 : 0;
-  // A stream that had begun cannot end with another answer.
+  // A stream whose head was passed on cannot end with another response.
   if ((aResponse.status_ >= 500 && MayRetry(aPending)) || HeadSent(aPending)) {
     aPending.failure_ = std::move(aResponse);
     SendNext(aId);
--- a/src/programs/gatewayd/forwarder.hpp
+++ b/src/programs/gatewayd/forwarder.hpp
@@ -1,5 +1,5 @@
-/// Sends one request to upstreams until one has answered it: attempts,
-/// retries, time limits, streams passed on as they come.
+/// Forwards requests to upstreams, with attempts, retries, time limits and
+/// streamed responses.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -14,18 +14,17 @@
 
 namespace marjoramtally {
 
-/// Names a request in progress.
 using ForwardId = std::uint64_t;
 
-/// A stream that can be resumed and makes nothing for this long is resumed
-/// elsewhere: callers leave after a gap of two seconds or more, and a change
-/// of weights holds a stream up for 0.9 s.
+/// A resumable stream without a new event for this long is resumed at another
+/// upstream. Callers disconnect after a gap of two seconds or more; a change of
+/// weights pauses a stream for 0.9 s.
 inline constexpr auto kStreamStallTimeout = std::chrono::milliseconds(1500);
 
-/// What is to be sent on.
+/// A request to forward.
 struct ForwardRequest
 {
-  /// Id of the caller's attempt; empty if it named none.
+  /// Id of the caller's attempt; empty if the caller sent none.
   std::string attempt_;
   std::string method_;
   /// Path and query.
@@ -34,19 +33,20 @@
   std::string body_;
   ServiceId service_;
   RouteKind kind_ = RouteKind::Idempotent;
-  /// Of a stream: another upstream may go on after the last event held.
+  /// Streams only: another upstream can continue after the last event received.
   bool resumable_ = false;
-  /// Of a stream: takes its head and events as they come. The response of
-  /// the outcome is for it as well, if nothing of the stream was passed on.
+  /// Streams only: receives the head and the events as they arrive. If nothing
+  /// of the stream was passed on, `ForwardDone` must send the response of the
+  /// outcome on it.
   HttpReplyPtr reply_;
   std::uint32_t maxAttempts_ = 1;
-  /// Longest time that the answer is waited for.
+  /// Maximum time to wait for the answer.
   Duration limit_ = std::chrono::seconds(10);
-  /// Time within which an answer is worth most.
+  /// Latency objective; an answer within this time has full value.
   Duration objective_ = std::chrono::seconds(1);
-  /// The id was sent before and its run failed.
+  /// A request with this id was sent before and its run failed.
   bool failedBefore_ = false;
-  /// Whose use it counts as; empty: nobody's.
+  /// The customer that usage is counted for; empty if none.
   CustomerId customer_;
 };
 
@@ -54,43 +54,43 @@
 struct ForwardOutcome
 {
   HttpResponse response_;
-  /// The response is an upstream's own, and whole.
+  /// The response is a complete answer of an upstream.
   bool answered_ = false;
-  /// The head of a stream was passed on: there is no response any more.
+  /// The head of a stream was passed on, so `response_` cannot be sent.
   bool headSent_ = false;
-  /// No upstream ran it and none will.
+  /// No upstream ran the request, and none will.
   bool notRun_ = false;
-  /// Answers in which an upstream reported its own failure.
+  /// Number of answers in which an upstream reported its own failure.
   std::uint32_t failures_ = 0;
 };
 
 using ForwardDone = std::function<void(ForwardOutcome)>;
 
-/// All requests in progress of this process.
+/// All requests in progress in this process. Used on one loop.
 class Forwarder
 {
 public:
-  /// Both outlive this.
+  /// Both arguments outlive this.
   Forwarder(GatewayContext& aHost, UpstreamTable& aTable);
 
-  /// Starts a request; `aDone` is called once unless it is cancelled.
+  /// Starts a request; `aDone` is called once unless the request is cancelled.
   ForwardId Start(ForwardRequest aRequest, ForwardDone aDone);
-  /// Ends a request whose caller left.
+  /// Cancels a request whose caller disconnected.
   void Cancel(ForwardId aId);
-  /// Attempts at the upstream's incarnation before are lost.
+  /// Retries attempts that were lost with the upstream's previous incarnation.
   void OnUpstreamRestarted(const UpstreamId& aUpstream);
-  /// What is held against requests; items of jobs ask and tell it as well.
+  /// Quarantine of requests that crash upstreams; shared with items of jobs.
   [[nodiscard]] RequestQuarantine& Quarantine() noexcept { return quarantine_; }
-  /// What customers used through this process.
+  /// Usage of customers through this process.
   [[nodiscard]] const UsageMeter& Usage() const noexcept { return usage_; }
-  /// @returns requests in progress by service
+  /// @returns number of requests in progress by service
   [[nodiscard]] std::map<ServiceId, std::uint64_t> InProgress() const;
 
 private:
-  /// A refused caller comes back after this time.
+  /// Sent to a refused caller as `Retry-After`.
   static constexpr auto kRetryAfter = std::chrono::milliseconds(200);
 
-  /// What a stream has beside other requests.
+  /// Additional state of a streamed request.
   struct Stream
   {
     explicit Stream(EventRelay aRelay)
@@ -100,9 +100,10 @@
 
     EventRelay relay_;
     SendWindow window_;
-    /// Head of the present attempt; the body too unless it is a stream.
+    /// Head of the current attempt, and its body if that is not an event
+    /// stream.
     HttpResponse head_;
-    /// The present attempt answers with events.
+    /// The current attempt answers with an event stream.
     bool events_ = false;
     /// The head was passed on to the caller.
     bool headSent_ = false;
@@ -116,33 +117,33 @@
     TimePoint startedAt_;
     Fingerprint fingerprint_;
     std::set<UpstreamId> tried_;
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     std::uint32_t possibleRuns_ = 0;
-    /// Attempts that were cut short for another upstream.
+    /// Number of attempts that timed out in favour of another upstream.
     std::uint32_t timedOutAttempts_ = 0;
     UpstreamId upstream_;
-    /// When the present attempt was sent.
+    /// When the current attempt was sent.
     TimePoint sentAt_;
     HttpCallId call_ = 0;
-    /// Number of the present attempt; answers of others are ignored.
+    /// Number of the current attempt; answers to other attempts are ignored.
     std::uint32_t attemptNumber_ = 0;
     bool inFlight_ = false;
-    /// Why its answer is not to be believed; empty while it is.
+    /// Why the answer of the current attempt is rejected; empty if it is not.
     std::string_view rejectReason_;
     LoopTimerId limitTimer_ = 0;
     LoopTimerId attemptTimer_ = 0;
     /// The last answer of an upstream that reported its own failure.
     std::optional<HttpResponse> failure_;
     std::uint32_t failures_ = 0;
-    /// Of a stream only.
+    /// Streams only.
     std::unique_ptr<Stream> stream_;
-    /// When an upstream began to run it, as far as is known.
+    /// When an upstream started to run the request, if known.
     std::optional<TimePoint> runStartedAt_;
   };
 
-  /// The present attempt has begun to run at its upstream, or may have.
+  /// Records that the current attempt has started to run, or may have.
   static void MarkRunStarted(PendingRequest& aPending, TimePoint aAt);
-  /// Counts a request that began to run, once.
+  /// Counts a request that started to run; called once per request.
   void CountUsage(const PendingRequest& aPending);
 
   void SendNext(ForwardId aId);
@@ -157,7 +158,7 @@
   void OnResult(ForwardId aId, std::uint32_t aAttempt, HttpResult aResult);
   void LogAttemptEnd(const PendingRequest& aPending,
                      const HttpResult& aResult) const;
-  /// An attempt gave no whole answer.
+  /// Handles an attempt that ended without a complete answer.
   void OnAttemptFailed(ForwardId aId,
                        PendingRequest& aPending,
                        HttpEnd aEnd,
@@ -165,50 +166,55 @@
   void OnAnswer(ForwardId aId,
                 PendingRequest& aPending,
                 HttpResponse aResponse);
-  /// The head of an answer came.
-  /// @returns whether it is believed
+  /// Validates the head of an answer.
+  /// @returns whether the answer is accepted
   [[nodiscard]] bool OnHead(PendingRequest& aPending,
                             int aStatus,
                             const HttpHeaders& aHeaders);
-  /// The answer to the present attempt was not believed.
+  /// Handles the end of an attempt whose answer was rejected.
   void OnRejected(ForwardId aId,
                   PendingRequest& aPending,
                   const HttpResult& aResult);
-  /// @returns why an answer is not an upstream's own to this request; empty
-  /// if it is
+  /// @returns why an answer does not belong to this request or does not come
+  /// from the upstream itself; empty if it is valid
   [[nodiscard]] std::string_view RejectReason(const PendingRequest& aPending,
                                               const HttpResponse& aHead) const;
-  /// @returns how long the next attempt may take before another is tried
+  /// @returns time after which an attempt is cancelled and another upstream is
+  /// tried
   [[nodiscard]] static Duration AttemptTimeout(const PendingRequest& aPending);
   void OnAttemptTimeout(ForwardId aId);
   void OnLimit(ForwardId aId);
   [[nodiscard]] bool MayRetry(const PendingRequest& aPending) const;
-  /// @returns when the present attempt was sent or last heard of
+  /// @returns when the current attempt was sent or last made progress
   [[nodiscard]] static TimePoint LastProgress(
     const PendingRequest& aPending) noexcept
   {
     return aPending.stream_ ? aPending.stream_->lastProgress_
                             : aPending.sentAt_;
   }
-  /// The present attempt has ended.
+  /// Records the end of the current attempt.
   void EndAttempt(PendingRequest& aPending,
                   CallVerdict aVerdict,
                   CallEnd aEnd = CallEnd::Other);
-  /// Breaks off the present attempt.
+  /// Cancels the current attempt.
   void CancelAttempt(PendingRequest& aPending, CallEnd aEnd = CallEnd::Other);
+  /// Removes the request and reports its outcome.
   void Finish(ForwardId aId, ForwardOutcome aOutcome);
+  /// Finishes the request with an error response: a refusal for status 503,
+  /// else an unknown outcome.
   void FailRequest(ForwardId aId,
                    int aStatus,
                    std::string_view aWhy,
                    Duration aRetryAfter = kRetryAfter);
   [[nodiscard]] Duration TimeLeft(const PendingRequest& aPending) const;
-  /// @returns whether another run of the request does no harm
+  /// @returns whether the request can safely run again
   [[nodiscard]] static bool Repeatable(const PendingRequest& aPending) noexcept;
   [[nodiscard]] static bool HeadSent(const PendingRequest& aPending) noexcept
   {
     return aPending.stream_ && aPending.stream_->headSent_;
   }
-  /// @returns the pending if that attempt is still its present one
+  /// @returns the request if that attempt is still the current one; else
+  /// nullptr
   [[nodiscard]] PendingRequest* FindAttempt(ForwardId aId,
                                             std::uint32_t aAttempt);
 
@@ -237,20 +243,20 @@
   std::unordered_map<ForwardId, PendingRequest> pending_;
 };
 
-/// Header fields that are passed on: all but those of one connection and
-/// those that the proxy sets itself.
+/// @returns the header fields that are forwarded: all except hop-by-hop fields
+/// and those that the gateway sets itself
 [[nodiscard]] HttpHeaders
 ForwardableHeaders(const HttpHeaders& aHeaders, const WireNames& aNames);
 
-/// Makes a request name the customer whose it is, and nobody else: what the
-/// caller sent of that is dropped, and its key too.
-/// @param aCustomer empty: nobody's
+/// Sets the customer header of a request. Customer headers that the caller
+/// sent are removed, and so is its key.
+/// @param aCustomer empty for none
 void
 SetCustomer(HttpHeaders& aHeaders,
             const WireNames& aNames,
             const CustomerId& aCustomer);
 
-/// @returns a refusal that says when to come back
+/// @returns a refusal with a `Retry-After` header
 [[nodiscard]] HttpResponse
 RefusedResponse(std::string_view aWhy, Duration aRetryAfter);
 
--- a/src/programs/gatewayd/forwarder_streams.cpp
+++ b/src/programs/gatewayd/forwarder_streams.cpp
@@ -16,12 +16,13 @@
 std::unique_ptr<Forwarder::Stream>
 Forwarder::MakeStream(const ForwardRequest& aRequest) const
 {
-  const auto held = ParseNumber(
+  const auto lastEvent = ParseNumber(
     FindHeader(aRequest.headers_, host_.Formats().Names().lastEvent_)
       .value_or(""),
     0,
     UINT64_MAX);
-  return std::make_unique<Stream>(held ? EventRelay(*held) : EventRelay());
+  return std::make_unique<Stream>(lastEvent ? EventRelay(*lastEvent)
+                                            : EventRelay());
 }
 
 void
@@ -84,11 +85,11 @@
     return true;
   }
   std::string events = stream.relay_.Feed(aBytes);
-  const bool sound = stream.relay_.Fault().empty();
+  const bool valid = stream.relay_.Fault().empty();
   if (!events.empty()) {
     ForwardEvents(aId, aPending, std::move(events));
   }
-  return sound;
+  return valid;
 }
 
 void
@@ -148,12 +149,12 @@
                        HttpResult aResult)
 {
   Stream& stream = *aPending.stream_;
-  const bool whole = aResult.end_ == HttpEnd::Whole;
-  if (whole && !stream.events_) {
+  const bool complete = aResult.end_ == HttpEnd::Whole;
+  if (complete && !stream.events_) {
     OnAnswer(aId, aPending, std::move(stream.head_));
     return;
   }
-  if (whole && stream.relay_.Fault().empty() && !stream.relay_.Partial()) {
+  if (complete && stream.relay_.Fault().empty() && !stream.relay_.Partial()) {
     ++aPending.possibleRuns_;
     MarkRunStarted(aPending, aPending.sentAt_);
     EndAttempt(aPending, CallVerdict::Answered);
@@ -164,7 +165,7 @@
     return;
   }
   std::string why =
-    whole ? "the stream ends within an event" : std::move(aResult.message_);
+    complete ? "the stream ends within an event" : std::move(aResult.message_);
   if (!stream.relay_.Fault().empty()) {
     why = stream.relay_.Fault();
   }
@@ -198,7 +199,7 @@
       OnAttemptTimeout(aId);
     }
   }
-  // Where there is no other upstream, the present one is waited for.
+  // Without another upstream, the current attempt continues.
   if (FindAttempt(aId, attempt) != nullptr) {
     StartProgressTimer(aId);
   }
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -6,22 +6,24 @@
 
 namespace {
 
-/// A process that owns no job is missed by none but its peers, who notice
-/// themselves; renewals are priced calls.
+/// Lease TTL of a process that owns no job. Only its peers depend on such a
+/// process, and they detect its failure themselves; a longer TTL saves
+/// renewals, which are billed calls to the store.
 constexpr auto kIdleLeaseTtl = std::chrono::seconds(12);
-/// All processes may start together. Which of them relay is known once their
-/// signs of life are written; watches that open before go to the store itself,
-/// of each process all.
+/// Delay before the relay plan is used. All processes may start together, and
+/// the relays are known once the liveness records are written. Watches opened
+/// earlier would all go directly to the store, from every process.
 constexpr auto kRelayPlanDelay = std::chrono::milliseconds(500);
-/// Watches of what the plan is not made of open after it is known.
+/// Delay of watches that are not input to the relay plan; they open after the
+/// plan is known.
 constexpr auto kWatchDelay = std::chrono::milliseconds(700);
-/// Largest body taken while no configuration says otherwise, in bytes.
+/// Maximum body size of a request of a caller or trainer.
 constexpr std::uint64_t kMaxBodyBytes = 32ULL << 20U;
 constexpr std::uint64_t kMaxReadyBodyBytes = 1024;
-/// Callers keep coming until the balancer has missed the readiness twice,
-/// asked once a second; so long the doors stay open.
+/// Time for which the listeners stay open after `Stop`. The balancer polls the
+/// readiness once a second and keeps sending requests until two polls failed.
 constexpr auto kDrainTime = std::chrono::milliseconds(2600);
-/// A caller that came before any configuration was known comes back.
+/// Sent as `Retry-After` while the configuration is missing or too old.
 constexpr auto kRetryAfter = std::chrono::milliseconds(300);
 
 LeasedKeyOptions
@@ -35,7 +37,6 @@
            false };
 }
 
-/// @returns the host without a port
 std::string
 HostWithoutPort(const HttpRequest& aRequest)
 {
@@ -44,7 +45,8 @@
   return std::string(host.substr(0, host.find(':')));
 }
 
-/// Ends a caller's response; a stream that is not whole is seen to be so.
+/// Completes a caller's response. An incomplete stream is aborted, so that the
+/// caller sees that it is incomplete.
 void
 EndReply(HttpReply& aReply, ForwardOutcome aOutcome)
 {
@@ -94,7 +96,8 @@
   const auto front = ParseListenAddress(host_.Settings().front_);
   const auto ready = ParseListenAddress(host_.Settings().ready_);
   if (!front || !ready) {
-    return Error{ ErrorKind::BadInput, "[gateway] lacks front or ready" };
+    return Error{ ErrorKind::BadInput,
+                  "[gateway] front or ready is missing or not an address" };
   }
   auto readyServer =
     listeners_.Serve(*ready,
@@ -199,11 +202,12 @@
   host_.Measures().Set("customers",
                        static_cast<double>(routes_.Customers().All().size()));
   host_.Measures().Set("keys", static_cast<double>(keys));
-  LogEvent(LogLevel::Info,
-           "config_read",
-           { { "revision", std::to_string(revision) },
-             { "routes", std::to_string(routes) },
-             { "outcome", applied ? "applied" : "older than the present" } });
+  LogEvent(
+    LogLevel::Info,
+    "config_read",
+    { { "revision", std::to_string(revision) },
+      { "routes", std::to_string(routes) },
+      { "outcome", applied ? "applied" : "older than the current revision" } });
 }
 
 void
@@ -254,7 +258,7 @@
              "upstream_entry_outdated",
              { { "id", id.Get() }, { "start", std::to_string(start.Get()) } });
   }
-  // What is lost by a restart has been told by now.
+  // After the requests lost by a restart have been reported.
   forwarder_.Quarantine().OnEntry(*entry);
 }
 
@@ -273,8 +277,8 @@
   forwarder_.Quarantine().OnList(entries);
 }
 
-/// What was in progress at the incarnation before is lost, whether or not its
-/// connections have told so.
+/// Requests in progress at the previous incarnation are lost, even if their
+/// connections have not reported it yet.
 void
 Gateway::OnRestarted(const UpstreamId& aId)
 {
@@ -283,12 +287,12 @@
   runner_.OnUpstreamRestarted(aId);
 }
 
-/// A process that the store does not answer takes in no jobs; others may. In a
-/// zone that is cut off all processes learn so from their watches within a
-/// second or two, and its callers are sent to other zones; leases of processes
-/// that own nothing are renewed too seldom to tell. Where the store answers
-/// none, the balancer goes on with all. Before the upstreams were read, all
-/// requests would be refused for want of one.
+/// A process without access to the store cannot accept jobs, while others may
+/// be able to. In a partitioned zone, all processes detect this through their
+/// watches within one or two seconds, and callers are routed to other zones;
+/// processes that own no job renew their leases too rarely to detect it. If the
+/// store answers no process, the balancer keeps using all of them. Before the
+/// upstreams are read, every request would be refused for lack of an upstream.
 std::string_view
 Gateway::NotReadyReason() const
 {
--- a/src/programs/gatewayd/gateway.hpp
+++ b/src/programs/gatewayd/gateway.hpp
@@ -1,4 +1,4 @@
-/// The gateway: takes requests of callers and trainers, sends them to
+/// The gateway: accepts requests of callers and trainers, forwards them to
 /// upstreams and runs jobs.
 #pragma once
 
@@ -9,20 +9,23 @@
 
 namespace marjoramtally {
 
-/// Everything that one gateway process does. Used on one loop but for
-/// construction.
+/// All components of one gateway process. Used on one loop, except for
+/// construction and `Open`.
 class Gateway
 {
 public:
-  /// Both outlive this.
+  /// Both arguments outlive this.
   Gateway(GatewayContext& aHost, Doors& aListeners);
 
-  /// Opens the doors; on any thread.
-  /// @returns an error naming an address that cannot be bound
+  /// Opens the listeners. May be called on any thread.
+  /// @returns an error with the address that cannot be bound
   [[nodiscard]] Result<bool> Open();
   void Start();
-  /// Is no longer ready, gives its jobs back and serves what is in progress.
+  /// Stops being ready. Requests and jobs in progress continue; jobs that
+  /// remain shortly before the grace period ends are released.
   void Stop();
+  /// Called repeatedly after `Stop`.
+  /// @returns whether the process can exit
   [[nodiscard]] bool Idle();
 
 private:
@@ -38,17 +41,17 @@
                HttpRequest aRequest,
                const CustomerId& aCustomer,
                const HttpReplyPtr& aReply);
-  /// Judges the key of a request and answers it unless it may go on.
+  /// Checks the key of a request. A request that is not admitted is answered.
   /// @param aPublic the request needs no key
-  /// @returns the customer of a request that may go on
+  /// @returns the customer of an admitted request
   [[nodiscard]] std::optional<CustomerId>
   Authenticate(const HttpRequest& aRequest, bool aPublic, HttpReply& aReply);
-  /// @returns how old the knowledge of the configuration is
+  /// @returns time since the configuration was last confirmed to be current
   [[nodiscard]] Duration ConfigAge() const noexcept
   {
     return host_.Now() - configConfirmedAt_;
   }
-  /// @returns empty if it is ready
+  /// @returns why the gateway is not ready; empty if it is
   [[nodiscard]] std::string_view NotReadyReason() const;
 
   GatewayContext& host_;
@@ -66,11 +69,11 @@
   PrefixFollower config_;
   PrefixFollower upstreams_;
   Random random_;
-  /// The configuration known here was the newest then.
+  /// When the local configuration was last confirmed to be current.
   TimePoint configConfirmedAt_;
-  /// No source vouches for the configuration.
+  /// No source of the watch confirms the configuration.
   bool configUnconfirmed_ = false;
-  /// Whether a whole reading of the upstreams came, also one of none.
+  /// A complete list of the upstreams was read, possibly an empty one.
   bool upstreamsRead_ = false;
   bool stopping_ = false;
   TimePoint stoppedAt_;
--- a/src/programs/gatewayd/main.cpp
+++ b/src/programs/gatewayd/main.cpp
@@ -13,15 +13,15 @@
 main(int aArgc, char** aArgv)
 {
   using namespace marjoramtally;
-  // A stop signal that comes during the start waits for `Run`.
+  // A stop signal that arrives during start-up stays pending until `Run`.
   BlockDaemonSignals();
   int code = kExitOk;
   auto settings =
     StartGatewayDaemon(aArgc,
                        aArgv,
                        "marjoram-gatewayd",
-                       "Takes requests of callers and trainers, sends them to "
-                       "upstreams and runs jobs.",
+                       "Accepts requests of callers and trainers, forwards "
+                       "them to upstreams and runs jobs.",
                        code);
   if (!settings) {
     return code;
@@ -44,7 +44,7 @@
   host.Run([&gateway] { gateway.Start(); },
            [&gateway] { gateway.Stop(); },
            [&gateway] { return gateway.Idle(); });
-  // What is still in progress has been cut by the grace; its callbacks must
-  // not run into objects that are being destroyed.
+  // Requests that outlast the grace period are cut off; their callbacks must
+  // not reach objects that are being destroyed.
   std::_Exit(kExitOk);
 }
--- a/src/programs/gatewayd/request_quarantine.cpp
+++ b/src/programs/gatewayd/request_quarantine.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// A call between zones takes some tens of milliseconds.
+/// Timeout of one call; between zones it takes some tens of milliseconds.
 constexpr auto kUpdateTimeout = std::chrono::milliseconds(500);
-/// Whoever does not answer is told again after this time; a process that is
-/// cut off for longer hears of a request when it reports it itself.
+/// Delay before an update is sent again to a gateway that did not answer. A
+/// gateway that stays unreachable for all tries receives the suspicion in the
+/// answer to its own report of the request.
 constexpr auto kUpdateRetryDelay = std::chrono::seconds(1);
 constexpr std::uint32_t kMaxUpdateTries = 4;
 
--- a/src/programs/gatewayd/request_quarantine.hpp
+++ b/src/programs/gatewayd/request_quarantine.hpp
@@ -1,4 +1,4 @@
-/// Keeps requests that crash upstreams from running, together with the other
+/// Quarantines requests that crash upstreams, in coordination with the other
 /// gateways.
 #pragma once
 
@@ -7,18 +7,18 @@
 
 namespace marjoramtally {
 
-/// How a call to an upstream ended, as far as crashes go.
+/// How a call to an upstream ended, for the attribution of crashes.
 enum class CallEnd
 {
-  /// The upstream's own whole answer to a request that it ran.
+  /// A complete answer of the upstream to a request that it ran.
   Answered,
   /// The connection broke after bytes were sent.
   Broken,
-  /// Anything else: not sent, not run, given up.
+  /// Anything else: not sent, not run, abandoned.
   Other,
 };
 
-/// @returns what stays the same when a request comes again
+/// @returns a fingerprint that is the same for repetitions of a request
 /// @param aHost with or without a port
 [[nodiscard]] Fingerprint
 FingerprintOf(std::string_view aMethod,
@@ -26,7 +26,8 @@
               std::string_view aTarget,
               std::string_view aBody) noexcept;
 
-/// Drives the watch for crashes. Used on one loop.
+/// Drives a `CrashWatch` and exchanges its updates with other gateways. Used on
+/// one loop.
 class RequestQuarantine
 {
 public:
@@ -34,11 +35,12 @@
 
   /// @returns whether a request may run
   [[nodiscard]] QuarantineVerdict Judge(Fingerprint aFingerprint);
-  /// @returns whether no other request that may be a culprit is in progress at
-  /// an upstream, if this one may be a culprit
+  /// @returns false if this request is a suspect and another suspect is in
+  /// progress at the upstream; else true
   [[nodiscard]] bool IsIsolatedAt(Fingerprint aFingerprint,
                                   const UpstreamId& aUpstream) const;
-  /// @returns upstreams that are better not chosen
+  /// @returns upstreams at which another suspect is in progress, if this
+  /// request is a suspect; else none
   [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
     Fingerprint aFingerprint) const
   {
@@ -57,18 +59,20 @@
   void OnList(const std::vector<UpstreamEntry>& aEntries);
 
 private:
-  /// Logs what was found and tells the other gateways.
+  /// Logs updates and sends them to the other gateways.
   void Publish(const CrashWatch::Updates& aUpdates);
   void SendUpdates(const std::string& aAddress,
                    const std::string& aBody,
                    std::uint32_t aTriesLeft);
+  /// Applies updates from another gateway and answers with the local suspicions
+  /// against the same requests.
   void OnUpdates(const RpcCall& aCall, const RpcDone& aDone);
-  /// Logs a quarantine once.
+  /// Logs a quarantine once until it ends.
   void LogRefusal(Fingerprint aFingerprint, const QuarantineVerdict& aVerdict);
 
   GatewayContext& host_;
   CrashWatch watch_;
-  /// Ends of the quarantines that were logged.
+  /// When each logged quarantine ends.
   std::map<Fingerprint, TimePoint> loggedUntil_;
 };
 
--- a/src/programs/gatewayd/usage_service.cpp
+++ b/src/programs/gatewayd/usage_service.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A gateway that does not tell in this time is asked again in the next round.
+/// A gateway that does not answer within this time is queried again in the next
+/// round.
 constexpr auto kPeerTimeout = std::chrono::milliseconds(400);
 
 } // namespace
--- a/src/programs/gatewayd/usage_service.hpp
+++ b/src/programs/gatewayd/usage_service.hpp
@@ -1,5 +1,5 @@
-/// Tells the holder of the duty of reports what customers used here and which
-/// places are wanted, and asks other gateways on its behalf.
+/// Reports usage of customers and demand for instances to the holder of the
+/// reporting duty, and queries other gateways on its behalf.
 #pragma once
 
 #include "marjoramtally/process/usage_messages.hpp"
@@ -17,15 +17,17 @@
                JobRunner& aRunner);
 
 private:
-  /// Answers that come from several gateways.
+  /// One query of several gateways.
   struct Round
   {
     std::vector<GatewayUsage> answers_;
+    /// Number of gateways that have not answered.
     std::size_t outstanding_ = 0;
     RpcDone done_;
   };
 
   void Serve(const RpcCall& aCall, const RpcDone& aDone);
+  /// @returns usage and demand of this gateway alone
   [[nodiscard]] GatewayUsage OwnUsage(const UsageRequest& aRequest);
   void RequestUsage(const std::string& aAddress,
                     const UsageRequest& aRequest,
