--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -1,5 +1,5 @@
-/// A gateway's parts on fakes: paused time, a store in memory, upstreams that
-/// a test answers for.
+/// Fakes for the components of a gateway: manual time, a store in memory, and
+/// upstreams whose answers the test gives.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -11,7 +11,7 @@
 
 namespace marjoramtally::test {
 
-/// One call that is waiting for its answer.
+/// An outstanding call.
 struct SentCall
 {
   HttpCallId id_ = 0;
@@ -41,19 +41,19 @@
 
   [[nodiscard]] SentCall& Oldest() { return open_.front(); }
 
-  /// Ends a call with a whole response.
+  /// Ends a call with a complete response.
   void Answer(SentCall aCall, HttpResponse aResponse)
   {
     Cancel(aCall.id_);
     --cancelled_;
     if (aCall.call_.onHead_ &&
         !aCall.call_.onHead_(aResponse.status_, aResponse.headers_)) {
-      aCall.done_({ HttpEnd::Cancelled, {}, "given up" });
+      aCall.done_({ HttpEnd::Cancelled, {}, "abandoned" });
       return;
     }
     if (aCall.call_.onData_) {
       if (!aCall.call_.onData_(aResponse.body_)) {
-        aCall.done_({ HttpEnd::Cancelled, {}, "given up" });
+        aCall.done_({ HttpEnd::Cancelled, {}, "abandoned" });
         return;
       }
       aResponse.body_.clear();
@@ -77,7 +77,7 @@
   HttpCallId last_ = 0;
 };
 
-/// Records a caller's response; the test says when its bytes were taken.
+/// Records a caller's response; the test completes its writes.
 class FakeReply final : public HttpReply
 {
 public:
@@ -106,7 +106,8 @@
     onCallerGone_ = std::move(aGone);
   }
 
-  /// All chunks so far were taken, or the connection was lost.
+  /// Completes all pending writes.
+  /// @param aOk false if the connection was lost
   void CompleteWrites(bool aOk)
   {
     for (const auto& written : std::exchange(pendingWrites_, {})) {
@@ -116,7 +117,7 @@
     }
   }
 
-  /// 0 before the head.
+  /// 0 before the head is sent.
   int status_ = 0;
   HttpHeaders headers_;
   std::string body_;
@@ -129,7 +130,7 @@
   std::vector<std::function<void(bool)>> pendingWrites_;
 };
 
-/// Calls between processes that find nobody.
+/// Peer calls that always fail as unavailable.
 class FakePeers final : public PeerCalls
 {
 public:
@@ -140,7 +141,7 @@
   void Serve(RpcTopic, RpcHandler) override {}
 };
 
-/// Calls between the gateways of a test; they count.
+/// Peer calls between the gateways of a test; counts the calls.
 class LinkedPeers final : public PeerCalls
 {
 public:
@@ -170,7 +171,7 @@
   bool losesAnswers_ = false;
 };
 
-/// The context and what it refers to.
+/// A gateway context and the objects that it refers to.
 struct GatewayFakes
 {
   GatewaySettings settings_;
@@ -196,8 +197,8 @@
                              "self~1" } };
   UpstreamTable upstreamTable_{ ZoneId{ "z1" } };
 
-  /// The time of day runs with the paused clock; what is told to have been
-  /// accepted at its beginning is a day old.
+  /// The wall clock is the manual clock, which starts at one day, so that a
+  /// record with an acceptance time of 0 is a day old.
   GatewayFakes() { clock_.Advance(std::chrono::hours(24)); }
 
   void AddUpstream(const std::string& aId,
@@ -214,7 +215,7 @@
     upstreamTable_.OnEntry(std::move(entry));
   }
 
-  /// An answer as an upstream gives it to a call.
+  /// @returns a signed answer to a call, with the id that the call carries
   [[nodiscard]] HttpResponse Answer(const SentCall& aCall,
                                     int aStatus,
                                     std::string aBody) const
--- a/tests/job_gateway.hpp
+++ b/tests/job_gateway.hpp
@@ -1,4 +1,4 @@
-/// One gateway's parts for jobs, beside others on the same store.
+/// The components of one gateway for jobs; several can share a store.
 #pragma once
 
 #include "gateway_fixture.hpp"
@@ -22,7 +22,7 @@
   return config;
 }
 
-/// The parts; the test starts the directory.
+/// The test starts the directory.
 struct JobGateway
 {
   LinkedPeers peers_;
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -1,5 +1,5 @@
-/// Customers and their keys: what a request's key allows, and what upstreams,
-/// jobs and answers learn of it.
+/// Customers and their keys: which requests a key admits, and what upstreams,
+/// jobs and answers reveal of it.
 
 #include "gateway_fixture.hpp"
 #include "job_gateway.hpp"
@@ -54,7 +54,7 @@
   REQUIRE(Judge(authorization, false, 1s).verdict_ == KeyVerdict::Refused);
 }
 
-TEST_CASE("a public request needs no key, and one it has counts")
+TEST_CASE("a public request needs no key, but a valid key names its customer")
 {
   REQUIRE(Judge("", true, 1h).verdict_ == KeyVerdict::Granted);
   const auto unknown = Judge("Bearer key-x", true, 1s);
@@ -63,7 +63,7 @@
   REQUIRE(Judge("Bearer key-s", true, 1s).customer_ == CustomerId{ "south" });
 }
 
-TEST_CASE("old knowledge refuses no key and serves none for ever")
+TEST_CASE("an outdated configuration refuses no key and accepts none for ever")
 {
   REQUIRE(Judge("Bearer key-x", false, 3s).verdict_ == KeyVerdict::Refused);
   REQUIRE(Judge("Bearer key-x", false, 3001ms).verdict_ ==
@@ -71,11 +71,11 @@
   REQUIRE(Judge("Bearer key-s", false, 9s).verdict_ == KeyVerdict::Granted);
   REQUIRE(Judge("Bearer key-s", false, 9001ms).verdict_ ==
           KeyVerdict::Uncertain);
-  // A key that was not sent can be in no configuration.
+  // A missing key is unknown in any configuration.
   REQUIRE(Judge("", false, 1h).verdict_ == KeyVerdict::Refused);
 }
 
-TEST_CASE("customers that cannot be told apart are findings without keys")
+TEST_CASE("findings on ambiguous customers do not contain keys")
 {
   auto customers = TwoCustomers();
   REQUIRE(CheckCustomers(customers).empty());
@@ -98,14 +98,14 @@
     REQUIRE(CheckCustomers(customers) ==
             std::vector<std::string>{ "customer north is listed twice" });
   }
-  SECTION("a key that stands twice at one customer is one key")
+  SECTION("a key listed twice for one customer is one key")
   {
     customers[0].keys_.emplace_back("key-n1");
     REQUIRE(CheckCustomers(customers).empty());
   }
 }
 
-TEST_CASE("a configuration with bad customers or bounds is rejected whole")
+TEST_CASE("a configuration with bad customers or bounds is rejected completely")
 {
   const auto platform = MakePlatform();
   const auto read = [&](const std::string& aMore) {
@@ -193,7 +193,7 @@
         aKeysOfA + R"(]},{"name":"b","api_keys":["k-b"]}]})");
   }
 
-  /// A source of the watch says that nothing has changed.
+  /// A source of the watch confirms that nothing has changed.
   void ConfirmConfig(Duration aAge = {})
   {
     store_.TellBatch(platform_->Places().config_,
@@ -233,7 +233,7 @@
 
 } // namespace
 
-TEST_CASE("an upstream learns the customer and never the key")
+TEST_CASE("an upstream gets the customer and never the key")
 {
   KeyedGateway gateway;
   gateway.Call("/x/1",
@@ -248,7 +248,7 @@
   REQUIRE(CountHeaders(sent, "Authorization") == 0);
 }
 
-TEST_CASE("an unknown key gets 401 and nothing is sent on")
+TEST_CASE("an unknown key gets 401 and nothing is forwarded")
 {
   KeyedGateway gateway;
   const auto unknown = gateway.Call("/x/1", { KeyedGateway::Key("k-x") });
@@ -261,7 +261,7 @@
   REQUIRE(gateway.client_.sent_ == 0);
 }
 
-TEST_CASE("a public route takes requests without a key and names nobody")
+TEST_CASE("a public route accepts requests without a key and sets no customer")
 {
   KeyedGateway gateway;
   gateway.Call("/o/1", { { "Tenant", "a" } });
@@ -276,7 +276,7 @@
   gateway.PutConfig(2, R"("k-new")");
   REQUIRE_FALSE(gateway.Call("/x/1", { KeyedGateway::Key("k-new") })->ended_);
   REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->status_ == 401);
-  // All keys of a customer are taken away.
+  // All keys of a customer are revoked.
   gateway.PutConfig(3, "");
   REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-new") })->status_ == 401);
 }
@@ -294,10 +294,11 @@
                      "Authorization") == "other");
 }
 
-// The order: a gateway was turned away by the store and heard of nothing; a key
-// was added, and its first request came here. Told 401, a caller does not ask
-// again; told 503, it is served elsewhere.
-TEST_CASE("a gateway whose watch is silent refuses no unknown key for good")
+// Guards against a final refusal of a key that was added while the gateway
+// received no updates from the store. A caller does not retry after 401; after
+// 503 it is served by another gateway.
+TEST_CASE(
+  "a gateway whose watch is not confirmed answers unknown keys with 503")
 {
   KeyedGateway gateway;
   gateway.store_.deaf_ = true;
@@ -307,24 +308,24 @@
   const auto reply = gateway.Call("/x/1", { KeyedGateway::Key("k-x") });
   REQUIRE(reply->status_ == 503);
   REQUIRE(FindHeader(reply->headers_, "Retry-After"));
-  // Known keys are served until they may have been revoked for too long.
+  // Known keys are accepted until they could have been revoked for too long.
   REQUIRE_FALSE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->ended_);
   gateway.timers_.Advance(6s);
   REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->status_ == 503);
-  SECTION("until a source vouches for what is known")
+  SECTION("until a source confirms the configuration")
   {
     gateway.ConfirmConfig();
     REQUIRE_FALSE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->ended_);
     REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-x") })->status_ == 401);
   }
-  SECTION("and a source that has not heard for long itself does not count")
+  SECTION("a source whose own configuration is too old does not count")
   {
     gateway.ConfirmConfig(3100ms);
     REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-x") })->status_ == 503);
   }
 }
 
-TEST_CASE("strict settings serve no key on knowledge beyond their limit")
+TEST_CASE("strict settings accept no key beyond their age limit")
 {
   KeyedGateway gateway;
   gateway.settings_.keyLimit_ = 5s;
@@ -355,7 +356,7 @@
     gateway.timers_.Advance(1500ms);
     return reply->status_;
   };
-  SECTION("its items name the customer, whatever they came with")
+  SECTION("its items carry its customer, whatever headers they were sent with")
   {
     REQUIRE(gateway.client_.open_.size() == 1);
     const HttpHeaders& sent = gateway.client_.Oldest().call_.headers_;
@@ -363,7 +364,7 @@
     REQUIRE(CountHeaders(sent, "Tenant") == 1);
     REQUIRE(CountHeaders(sent, "Authorization") == 0);
   }
-  SECTION("to others it is none that there is")
+  SECTION("other customers cannot find it")
   {
     REQUIRE(status("k-b", "GET", "/lots/job1") == 404);
     REQUIRE(status("k-b", "GET", "/items/job1?id=i1") == 404);
@@ -374,14 +375,14 @@
   {
     REQUIRE(status("k-a2", "DELETE", "/lots/job1") == 200);
   }
-  SECTION("taking the key away ends nothing")
+  SECTION("revoking the key does not end it")
   {
     gateway.PutConfig(3, R"("k-a2")");
     REQUIRE(status("k-a", "GET", "/lots/job1") == 401);
     REQUIRE(status("k-a2", "GET", "/lots/job1") == 200);
     REQUIRE(gateway.client_.open_.size() == 1);
   }
-  SECTION("its id is not to be had by others")
+  SECTION("other customers cannot reuse its id")
   {
     const auto other =
       gateway.Call("/j/1",
--- a/tests/test_forward_streams.cpp
+++ b/tests/test_forward_streams.cpp
@@ -1,5 +1,5 @@
-/// Streams of callers: passed on as they come, resumed within one answer,
-/// seen to be incomplete when broken off.
+/// Streams of callers: events are passed on as they arrive, a broken stream is
+/// resumed within one response or aborted so that it is visibly incomplete.
 
 #include "gateway_fixture.hpp"
 
@@ -52,7 +52,7 @@
 
   HttpCall& Call() { return client_.open_.front().call_; }
 
-  /// The head of a stream as an upstream sends it.
+  /// Delivers the head of an event stream.
   void Head(const std::string& aSigned = "s1")
   {
     const WireNames& names = platform_->Names();
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("each event of a stream is passed on as it comes")
+TEST_CASE("each event of a stream is passed on as it arrives")
 {
   Fixture fix;
   fix.Start(false);
@@ -105,7 +105,7 @@
   CHECK(fix.outcome_->answered_);
 }
 
-TEST_CASE("a broken stream that may be resumed goes on in the same answer")
+TEST_CASE("a broken resumable stream continues in the same response")
 {
   Fixture fix;
   fix.Start(true);
@@ -153,7 +153,7 @@
   CHECK(fix.outcome_->response_.status_ == 502);
 }
 
-TEST_CASE("a stream whose end comes within an event is not whole")
+TEST_CASE("a stream that ends within an event is incomplete")
 {
   Fixture fix;
   fix.Start(true, 2);
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE(
-  "an event that is not the next one ends the attempt, not those before")
+  "an event out of sequence ends the attempt after the events before it")
 {
   Fixture fix;
   fix.Start(true);
@@ -181,7 +181,7 @@
   CHECK(fix.reply_->body_ == Event(1));
   CHECK(fix.LastEvent() == "1");
   fix.Head();
-  // An upstream that begins anew would double the first event.
+  // An upstream that starts over would repeat the first event.
   CHECK_FALSE(fix.Data(Event(1)));
   CHECK(fix.reply_->body_ == Event(1));
 }
@@ -224,7 +224,7 @@
   CHECK(fix.outcome_->answered_);
 }
 
-TEST_CASE("a stream refused everywhere is refused with a time to come back")
+TEST_CASE("a stream refused by all upstreams is refused with Retry-After")
 {
   Fixture fix;
   fix.Start(false);
@@ -238,7 +238,7 @@
   CHECK(FindHeader(fix.outcome_->response_.headers_, "Retry-After"));
 }
 
-TEST_CASE("an upstream's error on a stream's route is passed on whole")
+TEST_CASE("an upstream's error on a stream's route is passed on completely")
 {
   Fixture fix;
   fix.Start(false);
@@ -250,7 +250,7 @@
   CHECK(fix.outcome_->response_.body_ == "no such prompt");
 }
 
-TEST_CASE("a stream that is not signed is given up at its first bytes")
+TEST_CASE("an unsigned stream is rejected at its first bytes")
 {
   Fixture fix;
   fix.Start(true);
@@ -264,8 +264,7 @@
   CHECK(fix.outcome_->answered_);
 }
 
-TEST_CASE(
-  "a silent stream is resumed elsewhere, one that may not is waited for")
+TEST_CASE("a stalled stream is resumed elsewhere if it is resumable")
 {
   Fixture fix;
   const bool resumable = GENERATE(true, false);
@@ -282,7 +281,7 @@
   CHECK(fix.LastEvent() == (resumable ? "2" : "none"));
 }
 
-TEST_CASE("a stream ends at its time limit, seen to be incomplete")
+TEST_CASE("a stream is visibly incomplete at its time limit")
 {
   Fixture fix;
   fix.Start(false);
@@ -295,7 +294,7 @@
   CHECK(fix.client_.cancelled_ == 1);
 }
 
-TEST_CASE("a caller that leaves its stream stops the work")
+TEST_CASE("a stream whose caller disconnected is cancelled")
 {
   Fixture fix;
   fix.Start(true);
@@ -306,7 +305,7 @@
   CHECK_FALSE(fix.outcome_);
 }
 
-TEST_CASE("a caller that takes nothing holds its upstream back")
+TEST_CASE("a caller that reads nothing pauses its upstream")
 {
   Fixture fix;
   fix.Start(false);
--- a/tests/test_forwarder.cpp
+++ b/tests/test_forwarder.cpp
@@ -1,5 +1,5 @@
-/// Requests to upstreams: what may be sent again, what counts as an answer,
-/// what the caller is told.
+/// Forwarding of requests: which are retried, which answers are accepted, and
+/// what the caller gets.
 
 #include "gateway_fixture.hpp"
 
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a request is sent on unchanged, with what is left of its time")
+TEST_CASE("a request is forwarded unchanged, with its remaining time")
 {
   Fixture fix;
   fix.Start();
@@ -68,7 +68,7 @@
   REQUIRE(fix.outcome_->response_.body_ == "ok");
 }
 
-TEST_CASE("a second attempt hands on only the time that is left")
+TEST_CASE("a second attempt gets only the remaining time")
 {
   Fixture fix;
   fix.Start();
@@ -93,15 +93,15 @@
   REQUIRE(fix.outcome_->response_.body_ == "mine");
 }
 
-// The story: upstreams answered a few requests twice, the second time without
-// the request's id: signed, short, and late. A gateway had sent the next
-// request over the same connection and took that second answer for its own. A
-// caller got a success with the signature of another run, and a trainer such a
-// score. Each later request on the connection then got the answer of the one
-// before it, which was refused for its id, and the connection was used on.
-// Evidence: the second answer bore the run number of the first, came sooner
-// than any answer could, and the three answers after it were each one behind;
-// all 56,711 sound answers of four plays bore their request's id.
+// Guards against a duplicate answer that is accepted for a later request.
+// Upstreams answered a few requests twice; the second answer was signed, short
+// and late, and had no request id. It arrived after the next request was sent
+// on the same connection, so a caller got a success, and a trainer a score,
+// with the signature of another run. It carried the run number of the first
+// answer and came sooner than any answer could. Later answers on that
+// connection were each one request behind. All 56,711 valid answers of four
+// simulations carried the id of their request, so an answer without an id is
+// rejected.
 TEST_CASE("an answer that does not name its request is not passed on")
 {
   Fixture fix;
@@ -117,7 +117,7 @@
   REQUIRE(fix.outcome_->response_.body_ == "mine");
 }
 
-TEST_CASE("a refusal that does not name its request promises nothing")
+TEST_CASE("a refusal without the request's id does not allow a retry")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 3);
@@ -130,7 +130,7 @@
   REQUIRE_FALSE(fix.outcome_->notRun_);
 }
 
-TEST_CASE("a request without an id goes out over a connection of its own")
+TEST_CASE("a request without an id is sent on a new connection")
 {
   Fixture fix;
   ForwardRequest request;
@@ -170,7 +170,7 @@
   REQUIRE(fix.outcome_->response_.status_ == 200);
 }
 
-TEST_CASE("where no upstream ran it, the refusal says when to come back")
+TEST_CASE("a request that no upstream ran is refused with Retry-After")
 {
   Fixture fix;
   const TimePoint startedAt = fix.clock_.Now();
@@ -183,7 +183,8 @@
   REQUIRE(fix.clock_.Now() == startedAt);
 }
 
-TEST_CASE("what may have run once is never sent again nor called not run")
+TEST_CASE(
+  "an at-most-once request that may have run is neither retried nor refused")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 3);
@@ -194,7 +195,7 @@
   REQUIRE_FALSE(fix.outcome_->notRun_);
 }
 
-TEST_CASE("a request of which no byte was sent may go elsewhere")
+TEST_CASE("a request of which no byte was sent is retried elsewhere")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce, 1);
@@ -204,7 +205,7 @@
   REQUIRE(fix.outcome_->response_.status_ == 503);
 }
 
-TEST_CASE("attempts that ran are bounded by the route")
+TEST_CASE("the route limits the number of attempts that ran")
 {
   Fixture fix;
   fix.AddUpstream("c", "svc");
@@ -230,7 +231,7 @@
   REQUIRE(fix.outcome_->failures_ == 2);
 }
 
-TEST_CASE("an idempotent request that takes long goes to another upstream")
+TEST_CASE("a slow idempotent request is retried at another upstream")
 {
   Fixture fix;
   fix.Start();
@@ -239,7 +240,7 @@
   fix.timers_.Advance(2ms);
   REQUIRE(fix.client_.sent_ == 2);
   REQUIRE(fix.client_.cancelled_ == 1);
-  // The last attempt is waited for.
+  // The last attempt has no attempt timeout.
   fix.timers_.Advance(1200ms);
   REQUIRE(fix.client_.sent_ == 2);
 }
@@ -253,7 +254,7 @@
   REQUIRE(fix.client_.open_.empty());
 }
 
-TEST_CASE("an attempt that used up the time is told as that, not as a failure")
+TEST_CASE("an attempt that used up the time limit ends with 504, not 502")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce);
@@ -264,7 +265,7 @@
   REQUIRE_FALSE(fix.outcome_->notRun_);
 }
 
-TEST_CASE("a caller that left stops the work")
+TEST_CASE("a request whose caller disconnected is cancelled")
 {
   Fixture fix;
   const ForwardId id = fix.Start();
@@ -276,7 +277,7 @@
   REQUIRE(fix.upstreamTable_.Find(UpstreamId{ "a" })->inFlight_ == 0);
 }
 
-TEST_CASE("an address that another incarnation took is left alone")
+TEST_CASE("an address that another incarnation took over is avoided")
 {
   Fixture fix;
   fix.Start();
@@ -304,7 +305,7 @@
   REQUIRE(forwardable.front().name_ == "X-Own");
 }
 
-TEST_CASE("a request at an upstream that has started again goes elsewhere")
+TEST_CASE("a request at a restarted upstream is retried elsewhere")
 {
   Fixture fix;
   fix.Start();
@@ -316,7 +317,7 @@
   REQUIRE(fix.outcome_->answered_);
 }
 
-TEST_CASE("what ran at most once at the incarnation before has no known end")
+TEST_CASE("an at-most-once request lost by a restart has an unknown outcome")
 {
   Fixture fix;
   fix.Start(RouteKind::AtMostOnce);
@@ -327,7 +328,7 @@
   REQUIRE(fix.client_.sent_ == 1);
 }
 
-TEST_CASE("a request sent just before a restart became known goes on")
+TEST_CASE("a request sent just before a restart became known continues")
 {
   Fixture fix;
   fix.Start();
@@ -337,13 +338,13 @@
   REQUIRE(fix.client_.cancelled_ == 0);
 }
 
-TEST_CASE("a call that is long by itself is not cut short at each upstream")
+TEST_CASE("a call that is slow everywhere does not time out at each upstream")
 {
   Fixture fix;
   fix.AddUpstream("c", "svc");
   fix.AddUpstream("d", "svc");
   fix.Start(RouteKind::Idempotent, 4);
-  // Wherever it runs it takes 1.2 s, beyond the patience of 0.7 s.
+  // It takes 1.2 s at every upstream, longer than the first timeout of 0.7 s.
   for (int tick = 0; tick < 190 && !fix.outcome_; ++tick) {
     fix.timers_.Advance(10ms);
     const auto& open = fix.client_.open_;
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -1,4 +1,4 @@
-/// A whole gateway behind doors that a test knocks at.
+/// Readiness of a complete gateway, with fake listeners.
 
 #include "gateway_fixture.hpp"
 #include "programs/gatewayd/gateway.hpp"
@@ -25,7 +25,7 @@
   [[nodiscard]] std::uint64_t InFlight() const noexcept override { return 0; }
 };
 
-/// Keeps the handlers of doors by their ports.
+/// Keeps the handlers of listeners by port.
 class FakeListeners final : public Doors
 {
 public:
@@ -73,10 +73,10 @@
 
 } // namespace
 
-// Callers read 503, "no upstream", of a service whose upstreams all ran. The
-// order: a gateway started, read its configuration and told the balancer that
-// it was ready, while its first reading of the upstreams had failed and waited
-// for its next try. Cause: upstreams that were not read yet are no upstreams.
+// Guards against a gateway that reports readiness after it has read the
+// configuration while its first read of the upstreams has failed and awaits a
+// retry. Its upstream table is then empty, and callers got 503 "no upstream"
+// for a service whose upstreams were all running.
 TEST_CASE("a gateway that has not read the upstreams yet is not ready")
 {
   Fixture fix;
@@ -96,12 +96,12 @@
   REQUIRE_FALSE(reply->ended_);
 }
 
-TEST_CASE("a gateway whose upstreams were read once stays ready without them")
+TEST_CASE("a gateway that has read an empty upstream list stays ready")
 {
   Fixture fix;
   fix.gateway_->Start();
   fix.timers_.Advance(50ms);
-  // There are none, and that is known.
+  // The list was read and is empty.
   REQUIRE(fix.Ready()->status_ == 200);
   fix.store_.unreadable_ = fix.platform_->Places().upstreams_;
   fix.store_.TellBatch(fix.store_.unreadable_, { true, false, 0, {} });
@@ -109,8 +109,8 @@
   REQUIRE(fix.Ready()->status_ == 200);
 }
 
-// Where the store answers nobody, the balancer goes on with all.
-TEST_CASE("a gateway that is not ready serves what it can")
+// If the store answers no gateway, the balancer keeps using all of them.
+TEST_CASE("a gateway that is not ready still forwards requests")
 {
   Fixture fix;
   fix.store_.Put(fix.platform_->Places().upstreams_ + "e", kUpstream);
@@ -123,11 +123,11 @@
   REQUIRE(fix.client_.open_.size() == 1);
 }
 
-// The order: a zone was cut off from the store. Its gateways, which renewed
-// their leases each 4 s, told the balancer that they were ready and refused
-// each job that its trainers sent them, for the 5.6 s of the cut; gateways of
-// other zones would have taken them.
-TEST_CASE("a gateway whose watch nobody vouches for is not ready")
+// Guards against readiness that depends only on the lease. In a zone that was
+// partitioned from the store, gateways that renewed their leases every 4 s
+// reported readiness and refused every job of the zone's trainers for the 5.6 s
+// of the partition, although gateways of other zones could have accepted them.
+TEST_CASE("a gateway whose watch is not confirmed is not ready")
 {
   Fixture fix;
   const std::string& prefix = fix.platform_->Places().config_;
@@ -138,8 +138,8 @@
   const auto reply = fix.Ready();
   REQUIRE(reply->status_ == 503);
   REQUIRE(reply->body_.find("nobody vouches") != std::string::npos);
-  // It serves what reaches it all the same, and is ready again with the first
-  // answer of a source.
+  // It still forwards requests, and is ready again after the first answer of a
+  // source.
   fix.Call();
   fix.store_.TellBatch(prefix, { false, false, fix.store_.Revision(), {} });
   REQUIRE(fix.Ready()->status_ == 200);
--- a/tests/test_request_quarantine.cpp
+++ b/tests/test_request_quarantine.cpp
@@ -1,5 +1,5 @@
-/// Gateways before upstreams of which one request kills each that runs it:
-/// when it is stopped, what its caller is told, that nobody else suffers.
+/// Quarantine of a request that crashes every upstream that runs it: when it is
+/// refused, what its caller gets, and that other requests are not affected.
 
 #include "gateway_fixture.hpp"
 #include "programs/gatewayd/job_runner.hpp"
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr auto kCrashingBody = "deadly";
-/// From a crash to the end of the registration: three heartbeats of 1.2 s.
+/// Time from a crash to the end of the registration: three heartbeats of 1.2 s.
 constexpr auto kRegistrationLag = 3600ms;
-/// Calls between gateways and the settling of reports.
+/// Time for calls between gateways and for reports to settle.
 constexpr auto kReportSettleTime = 500ms;
 
-/// One gateway, and upstreams that die of the crashing request.
+/// One gateway, with upstreams that the request `kCrashingBody` crashes.
 struct TestGateway : GatewayFakes
 {
   LinkedPeers linked_;
@@ -84,7 +84,8 @@
     return url.substr(7, url.find(':', 7) - 7);
   }
 
-  /// An upstream dies: its connections break, its registration ends later.
+  /// Crashes an upstream: its connections break at once, its registration ends
+  /// later.
   void Crash(const std::string& aId)
   {
     ++crashes_;
@@ -100,7 +101,7 @@
     timers_.After(kRegistrationLag, [this, aId] { RemoveUpstream(aId); });
   }
 
-  /// The upstreams run what they have, the crashing request first.
+  /// Lets the upstreams process all open calls, the crashing request first.
   void Serve()
   {
     while (!client_.open_.empty()) {
@@ -119,7 +120,7 @@
   }
 };
 
-/// Jobs of two items, of which one kills its upstream.
+/// One gateway with jobs, whose items may include the crashing request.
 struct TestJobGateway : TestGateway
 {
   RouteTable routes_;
@@ -184,7 +185,7 @@
     }
   }
 
-  /// Lets registrations end and items be sent for a while.
+  /// Advances the time, so that registrations end and items are sent.
   void AdvanceAndServe(Duration aTime)
   {
     for (Duration passed{}; passed < aTime; passed += 100ms) {
@@ -197,7 +198,7 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes upstreams is stopped after two")
+TEST_CASE("a request that crashed two upstreams is refused")
 {
   TestGateway gateway;
   for (int round = 0; round < 2; ++round) {
@@ -222,10 +223,11 @@
   REQUIRE(gateway.outcomes_.back().response_.status_ == 200);
 }
 
-/// A request that crashes its upstream does so as it begins. A trainer's step
-/// would wait for an item that was only unlucky: at work on two upstreams, one
-/// after the other, when they died of something else.
-TEST_CASE("an item that was at work when upstreams died is not suspected")
+// Guards against the quarantine of an innocent item, for which a trainer's step
+// would wait: the item was running on two upstreams, one after the other, when
+// they crashed for another reason. A request that crashes its upstream does so
+// soon after it starts.
+TEST_CASE("an item that ran for long before upstreams crashed is no suspect")
 {
   TestJobGateway gateway(6);
   gateway.Accept(JobId{ "j1" }, { "unlucky" });
@@ -236,7 +238,7 @@
     HttpResponse head = gateway.Answer(call, 200, "");
     head.headers_.push_back({ gateway.platform_->Names().versions_, "5" });
     REQUIRE(call.call_.onHead_(head.status_, head.headers_));
-    // The registration of the one that died before ends meanwhile.
+    // The registration of the upstream that crashed before ends meanwhile.
     for (int i = 0; i < 42; ++i) {
       const std::string id = std::to_string(++event);
       REQUIRE(call.call_.onData_("id: " + id + "\ndata: a\n\n"));
@@ -249,13 +251,13 @@
   REQUIRE(gateway.client_.open_.size() == 1);
 }
 
-TEST_CASE("an item that crashes upstreams waits, others of its job go on")
+TEST_CASE("an item that crashes upstreams waits; other items of its job run")
 {
   TestJobGateway gateway(6);
   gateway.Accept(JobId{ "j1" }, { kCrashingBody, "mild1", "mild2" });
   gateway.ServeItems();
   gateway.AdvanceAndServe(15s);
-  // One call after the other until the end of the registrations tells.
+  // Calls are sent one after the other until the registrations end.
   REQUIRE(gateway.crashes_ >= 2);
   const int crashes = gateway.crashes_;
   gateway.StartUpstream("f0", "lm");
@@ -264,14 +266,14 @@
   REQUIRE(gateway.crashes_ == crashes);
   const JobLedger& ledger = *gateway.runner_.Find(JobId{ "j1" });
   REQUIRE(ledger.Listed().size() == 2);
-  // In a later job as well.
+  // The same holds in a later job.
   gateway.Accept(JobId{ "j2" }, { kCrashingBody, "mild3" });
   gateway.AdvanceAndServe(2s);
   REQUIRE(gateway.crashes_ == crashes);
   REQUIRE(gateway.runner_.Find(JobId{ "j2" })->Listed().size() == 1);
 }
 
-TEST_CASE("gateways tell each other of crashes, and of nothing else")
+TEST_CASE("gateways report crashes to each other, and nothing else")
 {
   TestGateway one;
   TestGateway other;
@@ -291,7 +293,7 @@
   one.Serve();
   one.timers_.Advance(kRegistrationLag + kReportSettleTime);
   REQUIRE(one.linked_.calls_ == 1);
-  // The other one's first crash is the second.
+  // The first crash at the other gateway is the second one in total.
   other.Start(kCrashingBody);
   other.Serve();
   other.timers_.Advance(kRegistrationLag + kReportSettleTime);
@@ -303,7 +305,7 @@
   REQUIRE(one.crashes_ + other.crashes_ == 2);
 }
 
-TEST_CASE("a gateway that could not be told is told again")
+TEST_CASE("a report that did not reach a gateway is sent again")
 {
   TestGateway one;
   TestGateway other;
@@ -324,7 +326,7 @@
   REQUIRE(other.outcomes_.back().response_.status_ == 503);
 }
 
-TEST_CASE("calls that die beside the culprit are served and cleared")
+TEST_CASE("calls lost together with the culprit are served and cleared")
 {
   TestGateway gateway;
   for (int round = 0; round < 6; ++round) {
@@ -346,12 +348,12 @@
 }
 
 TEST_CASE(
-  "an idempotent request is stopped within its attempts once it is known")
+  "an idempotent request is refused once it is known to crash upstreams")
 {
   TestGateway gateway;
   gateway.Start(kCrashingBody, RouteKind::Idempotent, 3);
   gateway.Serve();
-  // All attempts went out before any registration ended.
+  // All attempts were sent before any registration ended.
   REQUIRE(gateway.crashes_ == 3);
   gateway.timers_.Advance(kRegistrationLag + kReportSettleTime);
   gateway.Start(kCrashingBody, RouteKind::Idempotent, 3);
@@ -359,7 +361,7 @@
   REQUIRE(gateway.crashes_ == 3);
 }
 
-TEST_CASE("items whose connections were reset all start again at once")
+TEST_CASE("items whose connections were reset are all restarted at once")
 {
   TestJobGateway gateway(2);
   gateway.Accept(JobId{ "j1" }, { "m1", "m2", "m3", "m4", "m5", "m6" });
