--- a/src/programs/orderd/main.cpp
+++ b/src/programs/orderd/main.cpp
@@ -35,7 +35,7 @@
       options.address_ = aAddress;
       // Announcing a version a few seconds late blocks nothing: steps accept
       // the previous version.
-      options.hold_ = std::chrono::seconds(3);
+      options.watchHold_ = std::chrono::seconds(3);
       return MakePlatformStore(aClient, aTimers, std::move(options));
     };
   GatewayHost host(std::move(*settings), MakePlatform(), makeStore, false);
--- a/tests/test_platform_formats.cpp
+++ b/tests/test_platform_formats.cpp
@@ -88,7 +88,7 @@
 
 TEST_CASE("an entry of another writer names no upstream and says why")
 {
-  const auto [value, place] = GENERATE(table<std::string, std::string>({
+  const auto [value, field] = GENERATE(table<std::string, std::string>({
     { "", "parse" },
     { "\xff\xfe\x00", "parse" },
     { "[]", "service" },
@@ -130,7 +130,7 @@
   REQUIRE_FALSE(entry);
   INFO(entry.error().message_);
   REQUIRE(entry.error().kind_ == ErrorKind::BadInput);
-  REQUIRE(entry.error().message_.find(place) != std::string::npos);
+  REQUIRE(entry.error().message_.find(field) != std::string::npos);
 }
 
 TEST_CASE("a submission becomes items with their score calls")
@@ -200,9 +200,11 @@
   REQUIRE(call.body_ == R"({"expected":2,"fence":41,"holder":"me",)"
                         R"("mode":"continue","model":"m","op":"version",)"
                         R"("version":3})");
-  VersionOrder whole{ "m", WeightVersion{ 3 }, "me", FencingNumber{ 41 }, 2 };
-  whole.runsFinish_ = true;
+  VersionOrder finishing{
+    "m", WeightVersion{ 3 }, "me", FencingNumber{ 41 }, 2
+  };
+  finishing.runsFinish_ = true;
   REQUIRE(
-    kPlatform->MakeOrder(upstream, whole).body_.find(R"("mode":"block")") !=
+    kPlatform->MakeOrder(upstream, finishing).body_.find(R"("mode":"block")") !=
     std::string::npos);
 }
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -15,12 +15,14 @@
 
 /// The store's one link, which all calls in progress share alike: a call ends
 /// when its bytes are through, or by its own limits.
-class SharedLink final : public HttpClient
+class SharedBandwidthLink final : public HttpClient
 {
 public:
-  SharedLink(ManualTimers& aTimers, std::size_t aBytesAMilli, std::string aBody)
+  SharedBandwidthLink(ManualTimers& aTimers,
+                      std::size_t aBytesPerMilli,
+                      std::string aBody)
     : timers_(aTimers)
-    , bytesAMilli_(aBytesAMilli)
+    , bytesPerMilli_(aBytesPerMilli)
     , body_(std::move(aBody))
   {
   }
@@ -35,24 +37,24 @@
   void Resume(HttpCallId) override {}
 
   /// Moves what goes through in some time.
-  void Pass(std::chrono::milliseconds aTime)
+  void Advance(std::chrono::milliseconds aTime)
   {
     timers_.Advance(aTime);
     if (calls_.empty()) {
       return;
     }
     const std::size_t share =
-      bytesAMilli_ * static_cast<std::size_t>(aTime.count()) / calls_.size();
+      bytesPerMilli_ * static_cast<std::size_t>(aTime.count()) / calls_.size();
     const auto calls = calls_;
     for (const auto& [id, seen] : calls) {
-      Move(id, share, aTime);
+      AdvanceTransfer(id, share, aTime);
     }
   }
 
   [[nodiscard]] std::size_t Sent() const noexcept { return sent_; }
 
 private:
-  struct Moving
+  struct Transfer
   {
     HttpCall call_;
     HttpDone done_;
@@ -60,18 +62,20 @@
     std::chrono::milliseconds age_{ 0 };
   };
 
-  void Move(HttpCallId aId, std::size_t aShare, std::chrono::milliseconds aTime)
+  void AdvanceTransfer(HttpCallId aId,
+                       std::size_t aShare,
+                       std::chrono::milliseconds aTime)
   {
-    Moving& moving = calls_.at(aId);
-    moving.bytes_ += aShare;
-    moving.age_ += aTime;
-    const bool whole = moving.bytes_ >= body_.size();
-    if (!whole && moving.age_ < moving.call_.timeout_) {
+    Transfer& transfer = calls_.at(aId);
+    transfer.bytes_ += aShare;
+    transfer.age_ += aTime;
+    const bool complete = transfer.bytes_ >= body_.size();
+    if (!complete && transfer.age_ < transfer.call_.timeout_) {
       return;
     }
-    const HttpDone done = std::move(moving.done_);
+    const HttpDone done = std::move(transfer.done_);
     calls_.erase(aId);
-    if (whole) {
+    if (complete) {
       done({ HttpEnd::Whole, { 200, {}, body_ }, {} });
     } else {
       done({ HttpEnd::TimedOut, {}, "Timeout was reached" });
@@ -79,11 +83,11 @@
   }
 
   ManualTimers& timers_;
-  std::size_t bytesAMilli_;
+  std::size_t bytesPerMilli_;
   std::string body_;
   HttpCallId last_ = 0;
   std::size_t sent_ = 0;
-  std::map<HttpCallId, Moving> calls_;
+  std::map<HttpCallId, Transfer> calls_;
 };
 
 struct Fixture
@@ -276,13 +280,13 @@
   constexpr int kProcesses = 250;
   constexpr std::size_t kConfigBytes = 1'000'000;
   // 1,000 Mbit/s
-  constexpr std::size_t kBytesAMilli = 125'000;
+  constexpr std::size_t kBytesPerMilli = 125'000;
   ManualClock clock;
   ManualTimers timers(clock);
   const std::string page =
     R"({"items":[{"key":"c","value":")" + std::string(kConfigBytes, 'A') +
     R"(","revision":3,"created_at":2}],"has_more":false,"as_of":3})";
-  SharedLink link(timers, kBytesAMilli, page);
+  SharedBandwidthLink link(timers, kBytesPerMilli, page);
   std::vector<std::unique_ptr<Store>> stores;
   std::vector<std::unique_ptr<PrefixFollower>> followers;
   int read = 0;
@@ -295,7 +299,7 @@
     followers.back()->Start(1min);
   }
   for (int i = 0; i < 300; ++i) {
-    link.Pass(10ms);
+    link.Advance(10ms);
   }
   // All bytes together need two seconds.
   CHECK(read == kProcesses);
