--- a/tests/test_platform_formats.cpp
+++ b/tests/test_platform_formats.cpp
@@ -1,4 +1,4 @@
-/// The platform's bodies, decoded once: what each field becomes here.
+/// Tests of the platform's formats: parsing of bodies and composition of calls.
 
 #include "platform.hpp"
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration of the platform becomes routes and services")
+TEST_CASE("a platform configuration is parsed into routes and services")
 {
   const auto config = kPlatform->ReadConfig(R"({"version":7,"routes":[
     {"name":"a","host":"h.example","prefix":"/x/","kind":"idempotent",
@@ -49,13 +49,13 @@
   REQUIRE(routes.at(1).maxQueue_ == 40s);
   REQUIRE(routes.at(1).singleVersion_);
   REQUIRE(routes.at(1).services_.size() == 2);
-  // A kind that is not known is treated as the most careful one.
+  // An unknown kind is read as the kind that is never run twice.
   REQUIRE(routes.at(2).kind_ == RouteKind::AtMostOnce);
   REQUIRE(config.value().services_.at(ServiceId{ "s" }).models_ ==
           std::vector<std::string>{ "m" });
 }
 
-TEST_CASE("a registered server becomes an upstream")
+TEST_CASE("a registered server is parsed into an upstream entry")
 {
   const auto entry = kPlatform->ReadUpstream(
     "servers/i-7f", R"({"service":"s","address":"10.0.0.9:80","zone":"z",
@@ -66,7 +66,7 @@
   REQUIRE_FALSE(kPlatform->ReadUpstream("servers/x", R"({"zone":"z"})"));
 }
 
-TEST_CASE("a registered server says when it started")
+TEST_CASE("a registered server's start time is read from its registration")
 {
   const auto read = [](const std::string& aBorn) {
     return kPlatform->ReadUpstream(
@@ -86,7 +86,8 @@
   REQUIRE(report.value().start_ == UpstreamStart{ 12 });
 }
 
-TEST_CASE("an entry of another writer names no upstream and says why")
+TEST_CASE(
+  "an invalid registration is rejected with an error that names the field")
 {
   const auto [value, field] = GENERATE(table<std::string, std::string>({
     { "", "parse" },
@@ -133,7 +134,7 @@
   REQUIRE(entry.error().message_.find(field) != std::string::npos);
 }
 
-TEST_CASE("a submission becomes items with their score calls")
+TEST_CASE("a submission is parsed into items with their score calls")
 {
   const auto spec = kPlatform->ReadSubmission(R"({"step":7,"model":"m",
     "min_version":6,"target_groups":12,"items":[{"id":"e5","path":"/p/1",
@@ -147,7 +148,7 @@
   REQUIRE(item.score_->body_ == "x");
 }
 
-TEST_CASE("a body that cannot be read is an error that says where")
+TEST_CASE("an unreadable body is an error that names the field")
 {
   const auto broken = kPlatform->ReadSubmission(R"({"items":[{"id":"a"}]})");
   REQUIRE(broken.error().kind_ == ErrorKind::BadInput);
@@ -159,7 +160,7 @@
   REQUIRE_FALSE(kPlatform->ReadVersion("{}"));
 }
 
-TEST_CASE("calls about jobs are told apart by method and path")
+TEST_CASE("job queries are distinguished by method and path")
 {
   const auto read =
     kPlatform->ReadQuery(MakeRequest("GET", "/lots/j1", "after=12"));
@@ -174,7 +175,7 @@
   REQUIRE_FALSE(kPlatform->ReadQuery(MakeRequest("GET", "/other/j1", "")));
 }
 
-TEST_CASE("a page of results has the platform's form")
+TEST_CASE("a page of results is written in the platform's format")
 {
   ResultPage page;
   page.total_ = 40;
@@ -187,7 +188,7 @@
           R"("text":""}],"total":40})");
 }
 
-TEST_CASE("an order names its holder, fence and expected count")
+TEST_CASE("an order contains its holder, fence and expected order count")
 {
   UpstreamEntry upstream;
   upstream.id_ = UpstreamId{ "i-1" };
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -1,5 +1,5 @@
-/// The client of the users' platform's store: what its answers prove, and
-/// what becomes of answers that cannot be right.
+/// Tests of the client of the platform's store: errors, paged reads, watches
+/// and invalid answers.
 
 #include "daemon/prefix_follower.hpp"
 #include "gateway_fixture.hpp"
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// The store's one link, which all calls in progress share alike: a call ends
-/// when its bytes are through, or by its own limits.
+/// The store's single link, whose bandwidth all calls in progress share
+/// equally. A call ends when its answer has been transferred or its timeout has
+/// expired.
 class SharedBandwidthLink final : public HttpClient
 {
 public:
@@ -36,7 +37,7 @@
   void Cancel(HttpCallId aId) override { calls_.erase(aId); }
   void Resume(HttpCallId) override {}
 
-  /// Moves what goes through in some time.
+  /// Transfers the bytes that the link carries in `aTime`.
   void Advance(std::chrono::milliseconds aTime)
   {
     timers_.Advance(aTime);
@@ -128,7 +129,7 @@
 
 } // namespace
 
-TEST_CASE("a range is read page by page, as of its first page")
+TEST_CASE("a range read in pages has the revision of its first page")
 {
   Fixture fix;
   const auto range = fix.Read({ Page("p/a", true, 9), Page("p/b", false, 11) });
@@ -139,13 +140,13 @@
   CHECK(range.value().records_[1].value_ == "a");
 }
 
-TEST_CASE("a range that may be old is followed from its oldest page")
+TEST_CASE("a stale range read in pages has the revision of its oldest page")
 {
   Fixture fix;
   std::optional<Result<StoreRange>> range;
   fix.store_->ReadEarlier(
     "p/", [&range](Result<StoreRange> aRange) { range = std::move(aRange); });
-  // Another replica, further behind, answers for the second page.
+  // A replica that lags further behind answers the second page.
   REQUIRE(fix.client_.Oldest().call_.url_.ends_with("prefix=p%2F&stale_ok=1"));
   fix.Answer(200, Page("p/a", true, 9));
   REQUIRE(fix.client_.Oldest().call_.url_.ends_with(
@@ -156,7 +157,7 @@
   CHECK(range->value().revision_ == 7);
 }
 
-TEST_CASE("pages that do not go on are an error that names the key")
+TEST_CASE("pages whose keys do not advance are an error that names the key")
 {
   Fixture fix;
   const auto range = fix.Read({ Page("p/a", true, 9), Page("p/a", true, 9) });
@@ -164,7 +165,7 @@
   CHECK(range.error().message_.find("p/a") != std::string::npos);
 }
 
-TEST_CASE("a lease of impossible length is cut to one that can be counted")
+TEST_CASE("an excessive lease TTL is clamped to 24 hours")
 {
   Fixture fix;
   std::optional<Result<StoreLease>> lease;
@@ -176,7 +177,7 @@
   CHECK(lease->value().ttl_ == 24h);
 }
 
-TEST_CASE("only 429 and 503 of the store prove that nothing was done")
+TEST_CASE("only status 429 and 503 of the store prove that nothing was done")
 {
   struct Case
   {
@@ -198,7 +199,7 @@
   }
 }
 
-TEST_CASE("an answer of the store that cannot be read is an error")
+TEST_CASE("an unreadable answer of the store is an error")
 {
   for (const char* body : { "",
                             "[]",
@@ -211,7 +212,7 @@
   }
 }
 
-TEST_CASE("a watch goes on from the revision that it saw")
+TEST_CASE("a watch resumes from the last revision that it received")
 {
   Fixture fix;
   std::vector<StoreWatchBatch> batches;
@@ -235,10 +236,10 @@
   CHECK(fix.client_.open_.empty());
 }
 
-// Readings of whole prefixes came again and again, and no log line told why.
-// The order: the store answered a watch with what could not be read. Cause: the
-// watch ended without a word.
-TEST_CASE("a watch whose answer cannot be read says so when it ends")
+// Guards against complete prefixes being read repeatedly without a logged
+// reason. It happens when the store answers a watch with an unreadable body and
+// the watch ends without logging this.
+TEST_CASE("a watch that ends on an unreadable answer logs the reason")
 {
   Fixture fix;
   const LogCapture log;
@@ -251,12 +252,12 @@
   REQUIRE(log.Tells("event=watch_unreadable prefix=p/ after=4"));
 }
 
-// A relay kept a configuration in force for 3.2 s that had been replaced. The
-// order: its zone was cut off and came back; its next watches were held for 50
-// ms and given up after 350 ms, and the store's answers took longer than that
-// five times in a row. Cause: a watch after a failure had less time than
-// others.
-TEST_CASE("a watch after one that failed has as much time as any")
+// Guards against a relay that keeps a replaced configuration in force for too
+// long (3.2 s were seen). It happened when a watch after a failure had a
+// shorter timeout than others: after a partition of the relay's zone, watches
+// were held for 50 ms and timed out after 350 ms, and five answers in a row
+// took longer.
+TEST_CASE("a watch renewed after a failure has the same timeout as the first")
 {
   Fixture fix;
   fix.store_->Watch("p/", 1, [](const StoreWatchBatch&) {});
@@ -269,13 +270,13 @@
   REQUIRE(second.call_.url_ == first.call_.url_);
 }
 
-// What users saw: after most processes of a large fleet had been killed, no
-// gateway took requests any more, for the rest of the day. The order: the
-// configuration had grown to 4,236 routes, 1 MB; all started at once and read
-// it over the store's one link; each gave its reading up after 1.2 s, when half
-// of it had come, and began anew. Cause: a reading had a time limit of its own,
-// however much of it had come.
-TEST_CASE("a large configuration reaches a fleet that starts at once")
+// Guards against gateways that never become ready after most processes of a
+// large fleet restart at once. It happened when a range read had a fixed
+// timeout regardless of progress: all processes read a configuration of 4,236
+// routes (1 MB) over the store's single link, timed out after 1.2 s with half
+// of it received, and started again.
+TEST_CASE(
+  "all processes of a fleet that starts at once read a large configuration")
 {
   constexpr int kProcesses = 250;
   constexpr std::size_t kConfigBytes = 1'000'000;
@@ -295,13 +296,13 @@
     followers.push_back(
       std::make_unique<PrefixFollower>(*stores.back(), timers, "c"));
     followers.back()->onAll_ = [&read](const StoreRange&) { ++read; };
-    // Watches are not part of the play.
+    // Delays watches beyond the end of the simulation.
     followers.back()->Start(1min);
   }
   for (int i = 0; i < 300; ++i) {
     link.Advance(10ms);
   }
-  // All bytes together need two seconds.
+  // The transfer of all bytes takes two seconds.
   CHECK(read == kProcesses);
   CHECK(link.Sent() == kProcesses);
 }
