--- a/fuzz/fuzz_completion_stream.cpp
+++ b/fuzz/fuzz_completion_stream.cpp
@@ -23,7 +23,7 @@
     bytes.remove_prefix(std::min(end + 1, bytes.size()));
   }
   const bool ended = passed.ends_with("data: [DONE]\n\n");
-  if (stream.Whole() && !passed.empty() && !ended) {
+  if (stream.IsComplete() && !passed.empty() && !ended) {
     std::abort();
   }
   return 0;
--- a/fuzz/fuzz_platform.cpp
+++ b/fuzz/fuzz_platform.cpp
@@ -33,12 +33,12 @@
   request.path_ = bytes.substr(0, half);
   request.query_ = bytes.substr(half);
   static_cast<void>(platform->ReadQuery(request));
-  static_cast<void>(DecodeJobAsk(bytes));
-  static_cast<void>(DecodeJobAnswer(bytes));
-  static_cast<void>(DecodeJobBodyAsk(bytes));
-  static_cast<void>(DecodeJobBodyAnswer(bytes));
-  static_cast<void>(DecodeJobHandOn(bytes));
-  static_cast<void>(DecodeJobHandOnAnswer(bytes));
+  static_cast<void>(DecodeJobResultsRequest(bytes));
+  static_cast<void>(DecodeJobResultsReply(bytes));
+  static_cast<void>(DecodeJobBodyRequest(bytes));
+  static_cast<void>(DecodeJobBodyReply(bytes));
+  static_cast<void>(DecodeJobHandover(bytes));
+  static_cast<void>(DecodeJobHandoverReply(bytes));
   static_cast<void>(ReadSubmissionRecord(bytes));
   const auto results = ReadResultsRecord(bytes);
   if (results) {
--- a/include/marjoramtally/base/backoff.hpp
+++ b/include/marjoramtally/base/backoff.hpp
@@ -27,11 +27,11 @@
   /// @returns the next pause, from half of it to all of it at random
   constexpr Duration Next() noexcept
   {
-    const Duration whole = next_;
+    const Duration pause = next_;
     next_ = std::min(next_ * 2, longest_);
-    const auto half = static_cast<std::uint64_t>(whole.count() / 2);
+    const auto half = static_cast<std::uint64_t>(pause.count() / 2);
     const auto jitter = static_cast<Duration::rep>(random_.Below(half + 1));
-    return whole - Duration{ jitter };
+    return pause - Duration{ jitter };
   }
   /// Starts over after a success.
   constexpr void Reset() noexcept { next_ = first_; }
--- a/include/marjoramtally/connection/job_messages.hpp
+++ b/include/marjoramtally/connection/job_messages.hpp
@@ -13,7 +13,7 @@
 namespace marjoramtally {
 
 /// Asks for a job's results from a position on.
-struct JobAsk
+struct JobResultsRequest
 {
   std::string job_;
   std::uint64_t after_ = 0;
@@ -22,36 +22,36 @@
 };
 
 [[nodiscard]] std::string
-EncodeJobAsk(const JobAsk& aAsk);
-[[nodiscard]] Result<JobAsk>
-DecodeJobAsk(std::string_view aBytes);
+EncodeJobResultsRequest(const JobResultsRequest& aRequest);
+[[nodiscard]] Result<JobResultsRequest>
+DecodeJobResultsRequest(std::string_view aBytes);
 
 /// @param aResults a record of results as the store keeps it
 [[nodiscard]] std::string
-EncodeJobAnswer(std::string_view aResults);
+EncodeJobResultsReply(std::string_view aResults);
 [[nodiscard]] Result<std::string>
-DecodeJobAnswer(std::string_view aBytes);
+DecodeJobResultsReply(std::string_view aBytes);
 
 /// Asks for the body of a job's item.
-struct JobBodyAsk
+struct JobBodyRequest
 {
   std::string job_;
   std::string item_;
 };
 
 [[nodiscard]] std::string
-EncodeJobBodyAsk(const JobBodyAsk& aAsk);
-[[nodiscard]] Result<JobBodyAsk>
-DecodeJobBodyAsk(std::string_view aBytes);
+EncodeJobBodyRequest(const JobBodyRequest& aRequest);
+[[nodiscard]] Result<JobBodyRequest>
+DecodeJobBodyRequest(std::string_view aBytes);
 
 /// @param aBody nothing: the job has no such item
 [[nodiscard]] std::string
-EncodeJobBodyAnswer(const std::optional<std::string>& aBody);
+EncodeJobBodyReply(const std::optional<std::string>& aBody);
 [[nodiscard]] Result<std::optional<std::string>>
-DecodeJobBodyAnswer(std::string_view aBytes);
+DecodeJobBodyReply(std::string_view aBytes);
 
 /// A submission that the asked process is to accept and own.
-struct JobHandOn
+struct JobHandover
 {
   std::string job_;
   /// In the form in which the store keeps it.
@@ -59,14 +59,14 @@
 };
 
 [[nodiscard]] std::string
-EncodeJobHandOn(const JobHandOn& aHandOn);
-[[nodiscard]] Result<JobHandOn>
-DecodeJobHandOn(std::string_view aBytes);
+EncodeJobHandover(const JobHandover& aHandover);
+[[nodiscard]] Result<JobHandover>
+DecodeJobHandover(std::string_view aBytes);
 
 /// @param aEnd the number of an `AcceptOutcome`
 [[nodiscard]] std::string
-EncodeJobHandOnAnswer(std::uint8_t aEnd);
+EncodeJobHandoverReply(std::uint8_t aEnd);
 [[nodiscard]] Result<std::uint8_t>
-DecodeJobHandOnAnswer(std::string_view aBytes);
+DecodeJobHandoverReply(std::string_view aBytes);
 
 } // namespace marjoramtally
--- a/include/marjoramtally/connection/trainer_messages.hpp
+++ b/include/marjoramtally/connection/trainer_messages.hpp
@@ -35,11 +35,11 @@
 };
 
 /// Asks how far the open steps are.
-struct AskProgress
+struct GetProgress
 {};
 
 using TrainerOperation =
-  std::variant<OpenStep, TakeSamples, AnnounceVersion, CloseStep, AskProgress>;
+  std::variant<OpenStep, TakeSamples, AnnounceVersion, CloseStep, GetProgress>;
 
 /// One operation of a trainer.
 struct TrainerRequest
--- a/include/marjoramtally/process/router.hpp
+++ b/include/marjoramtally/process/router.hpp
@@ -35,7 +35,7 @@
 /// How an attempt at an upstream ended.
 struct AttemptResult
 {
-  AttemptEnd end_ = AttemptEnd::Whole;
+  AttemptEnd end_ = AttemptEnd::Complete;
   /// Whether the deadline ended the attempt.
   bool timedOut_ = false;
   /// Whether the caller or a faster attempt cancelled it, which is no evidence
--- a/include/marjoramtally/request/attempts.hpp
+++ b/include/marjoramtally/request/attempts.hpp
@@ -20,23 +20,23 @@
 class Attempts
 {
 public:
-  /// @param aMost attempts that may be made in all
-  explicit Attempts(std::uint32_t aMost) noexcept
-    : most_(aMost)
+  /// @param aMaxAttempts attempts that may be made in all
+  explicit Attempts(std::uint32_t aMaxAttempts) noexcept
+    : maxAttempts_(aMaxAttempts)
   {
   }
 
   /// Records the end of an attempt.
   /// @returns what follows from it
-  [[nodiscard]] NextStep After(const RequestSpec& aRequest,
-                               AttemptEnd aEnd,
-                               TimePoint aNow) noexcept;
+  [[nodiscard]] NextStep RecordEnd(const RequestSpec& aRequest,
+                                   AttemptEnd aEnd,
+                                   TimePoint aNow) noexcept;
   /// @returns what is true when no further attempt is made
-  [[nodiscard]] NextStep GiveUp() const noexcept;
+  [[nodiscard]] NextStep FinalStep() const noexcept;
   [[nodiscard]] std::uint32_t Made() const noexcept { return made_; }
 
 private:
-  std::uint32_t most_;
+  std::uint32_t maxAttempts_;
   std::uint32_t made_ = 0;
   bool mayHaveRun_ = false;
 };
--- a/include/marjoramtally/request/completion_stream.hpp
+++ b/include/marjoramtally/request/completion_stream.hpp
@@ -29,7 +29,7 @@
   }
   /// @returns whether the attempt gave the whole answer: a finish reason and
   /// the final event
-  [[nodiscard]] bool Whole() const noexcept { return done_; }
+  [[nodiscard]] bool IsComplete() const noexcept { return done_; }
   /// @returns whether what an attempt gave contradicts what the caller
   /// holds, so that no further attempt can help
   [[nodiscard]] bool Contradicted() const noexcept { return contradicted_; }
@@ -40,7 +40,7 @@
 
 private:
   /// One event of a completion, read.
-  struct Piece
+  struct Chunk
   {
     std::uint32_t offset_ = 0;
     std::uint32_t tokens_ = 0;
@@ -49,15 +49,15 @@
     WeightVersion version_;
   };
 
-  [[nodiscard]] Result<std::string> TakeEvent(const std::string& aData);
-  [[nodiscard]] Result<std::string> TakePiece(const std::string& aData,
-                                              const Piece& aPiece);
-  [[nodiscard]] Result<Piece> ReadPiece(const std::string& aData) const;
+  [[nodiscard]] Result<std::string> ProcessEvent(const std::string& aData);
+  [[nodiscard]] Result<std::string> ProcessChunk(const std::string& aData,
+                                                 const Chunk& aChunk);
+  [[nodiscard]] Result<Chunk> ParseChunk(const std::string& aData) const;
   /// @returns what of a piece the caller does not hold
-  [[nodiscard]] Result<std::string> NewText(const Piece& aPiece);
-  void AddSpan(const Piece& aPiece);
+  [[nodiscard]] Result<std::string> AppendNewText(const Chunk& aChunk);
+  void AddSpan(const Chunk& aChunk);
   [[nodiscard]] std::string Rewrite(const std::string& aData,
-                                    const Piece& aPiece,
+                                    const Chunk& aChunk,
                                     const std::string& aNewText) const;
 
   EventStreamParser parser_;
@@ -65,8 +65,8 @@
   std::uint32_t tokens_ = 0;
   std::vector<VersionSpan> spans_;
   /// Of the present attempt: next token, and bytes of text up to it.
-  std::uint32_t next_ = 0;
-  std::size_t bytes_ = 0;
+  std::uint32_t nextToken_ = 0;
+  std::size_t textOffset_ = 0;
   bool started_ = false;
   bool finished_ = false;
   bool done_ = false;
--- a/include/marjoramtally/request/event_relay.hpp
+++ b/include/marjoramtally/request/event_relay.hpp
@@ -34,21 +34,21 @@
   }
   /// @returns whether another attempt can go on where this one stopped: every
   /// event passed on bears its number
-  [[nodiscard]] bool CanResume() const noexcept { return numbered_; }
+  [[nodiscard]] bool CanResume() const noexcept { return allNumbered_; }
   /// @returns whether bytes of an unfinished event are held
   [[nodiscard]] bool Partial() const noexcept { return !event_.empty(); }
 
 private:
   [[nodiscard]] bool EventEnds() noexcept;
   /// Counts the event, or finds the fault.
-  void TakeEvent();
+  void CheckEvent();
 
   std::optional<std::uint64_t> last_;
-  bool numbered_ = true;
+  bool allNumbered_ = true;
   std::string fault_;
   /// Bytes of the event in progress, and where its present line begins.
   std::string event_;
-  std::size_t line_ = 0;
+  std::size_t lineStart_ = 0;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/request/event_stream.hpp
+++ b/include/marjoramtally/request/event_stream.hpp
@@ -50,8 +50,8 @@
   }
 
 private:
-  void TakeLine(std::vector<ServerEvent>& aEvents);
-  void TakeData(std::string_view aValue);
+  void ProcessLine(std::vector<ServerEvent>& aEvents);
+  void AppendData(std::string_view aValue);
 
   std::string labelField_;
   std::string line_;
--- a/include/marjoramtally/request/outcome.hpp
+++ b/include/marjoramtally/request/outcome.hpp
@@ -22,7 +22,7 @@
 enum class AttemptEnd : std::uint8_t
 {
   /// The answer is whole by its protocol's own proof.
-  Whole,
+  Complete,
   /// Proven not to have run.
   NotRun,
   /// Bytes were sent and no whole answer came.
--- a/src/base/index_set.cpp
+++ b/src/base/index_set.cpp
@@ -10,14 +10,14 @@
 IndexSet::Parse(std::string_view aText)
 {
   IndexSet set;
-  std::uint64_t least = 0;
+  std::uint64_t lowest = 0;
   while (!aText.empty()) {
     const std::size_t comma = aText.find(',');
     const std::string_view range = aText.substr(0, comma);
     const std::size_t dash = range.find('-');
     const std::string_view last =
       dash == std::string_view::npos ? range : range.substr(dash + 1);
-    const auto from = ParseNumber(range.substr(0, dash), least, kMaxIndex - 1);
+    const auto from = ParseNumber(range.substr(0, dash), lowest, kMaxIndex - 1);
     if (!from) {
       return std::nullopt;
     }
@@ -28,7 +28,7 @@
     for (std::uint64_t i = *from; i <= *to; ++i) {
       set.Insert(static_cast<std::uint32_t>(i));
     }
-    least = *to + 1;
+    lowest = *to + 1;
     if (comma != std::string_view::npos && comma + 1 == aText.size()) {
       return std::nullopt;
     }
--- a/src/base/units.cpp
+++ b/src/base/units.cpp
@@ -55,9 +55,9 @@
     if (known.name_ != unit) {
       continue;
     }
-    const auto most = static_cast<std::uint64_t>(
+    const auto max = static_cast<std::uint64_t>(
       std::numeric_limits<std::int64_t>::max() / known.micros_);
-    const auto count = ParseNumber(aText.substr(0, digits), 0, most);
+    const auto count = ParseNumber(aText.substr(0, digits), 0, max);
     if (!count) {
       return std::nullopt;
     }
--- a/src/connection/gossip_messages.cpp
+++ b/src/connection/gossip_messages.cpp
@@ -127,12 +127,15 @@
 /// Converts a list until an element is refused.
 template<typename List, typename T, typename Function>
 bool
-ReadList(const List& aIn, std::vector<T>& aOut, Function aConvert, Error& aBad)
+ReadList(const List& aIn,
+         std::vector<T>& aOut,
+         Function aConvert,
+         Error& aError)
 {
   for (const auto element : aIn) {
     Result<T> converted = aConvert(element);
     if (!converted) {
-      aBad = converted.error();
+      aError = converted.error();
       return false;
     }
     aOut.push_back(std::move(converted).value());
@@ -159,10 +162,10 @@
     message.zoneHashes_.push_back(
       { ZoneId{ Text(hash.getZone()) }, hash.getHash() });
   }
-  Error bad;
-  if (!ReadList(aIn.getUpdates(), message.updates_, ReadMember, bad) ||
-      !ReadList(aIn.getItems(), message.items_, ReadItem, bad)) {
-    return bad;
+  Error error;
+  if (!ReadList(aIn.getUpdates(), message.updates_, ReadMember, error) ||
+      !ReadList(aIn.getItems(), message.items_, ReadItem, error)) {
+    return error;
   }
   return message;
 }
--- a/src/connection/job_messages.cpp
+++ b/src/connection/job_messages.cpp
@@ -23,58 +23,58 @@
 } // namespace
 
 std::string
-EncodeJobAsk(const JobAsk& aAsk)
+EncodeJobResultsRequest(const JobResultsRequest& aRequest)
 {
   capnp::MallocMessageBuilder builder;
-  auto ask = builder.initRoot<wire::JobAsk>();
-  ask.setJob(aAsk.job_);
-  ask.setAfter(aAsk.after_);
-  ask.setWaitMs(static_cast<std::uint32_t>(WholeMillis(aAsk.wait_)));
+  auto request = builder.initRoot<wire::JobAsk>();
+  request.setJob(aRequest.job_);
+  request.setAfter(aRequest.after_);
+  request.setWaitMs(static_cast<std::uint32_t>(WholeMillis(aRequest.wait_)));
   return impl::Flatten(builder);
 }
 
-Result<JobAsk>
-DecodeJobAsk(std::string_view aBytes)
+Result<JobResultsRequest>
+DecodeJobResultsRequest(std::string_view aBytes)
 {
-  return impl::ReadMessage<wire::JobAsk, JobAsk>(
-    aBytes, [](wire::JobAsk::Reader aIn) -> Result<JobAsk> {
-      return JobAsk{ aIn.getJob().cStr(),
-                     aIn.getAfter(),
-                     std::chrono::milliseconds(aIn.getWaitMs()) };
+  return impl::ReadMessage<wire::JobAsk, JobResultsRequest>(
+    aBytes, [](wire::JobAsk::Reader aIn) -> Result<JobResultsRequest> {
+      return JobResultsRequest{ aIn.getJob().cStr(),
+                                aIn.getAfter(),
+                                std::chrono::milliseconds(aIn.getWaitMs()) };
     });
 }
 
 std::string
-EncodeJobBodyAsk(const JobBodyAsk& aAsk)
+EncodeJobBodyRequest(const JobBodyRequest& aRequest)
 {
   capnp::MallocMessageBuilder builder;
-  auto ask = builder.initRoot<wire::JobBodyAsk>();
-  ask.setJob(aAsk.job_);
-  ask.setItem(aAsk.item_);
+  auto request = builder.initRoot<wire::JobBodyAsk>();
+  request.setJob(aRequest.job_);
+  request.setItem(aRequest.item_);
   return impl::Flatten(builder);
 }
 
-Result<JobBodyAsk>
-DecodeJobBodyAsk(std::string_view aBytes)
+Result<JobBodyRequest>
+DecodeJobBodyRequest(std::string_view aBytes)
 {
-  return impl::ReadMessage<wire::JobBodyAsk, JobBodyAsk>(
-    aBytes, [](wire::JobBodyAsk::Reader aIn) -> Result<JobBodyAsk> {
-      return JobBodyAsk{ aIn.getJob().cStr(), aIn.getItem().cStr() };
+  return impl::ReadMessage<wire::JobBodyAsk, JobBodyRequest>(
+    aBytes, [](wire::JobBodyAsk::Reader aIn) -> Result<JobBodyRequest> {
+      return JobBodyRequest{ aIn.getJob().cStr(), aIn.getItem().cStr() };
     });
 }
 
 std::string
-EncodeJobBodyAnswer(const std::optional<std::string>& aBody)
+EncodeJobBodyReply(const std::optional<std::string>& aBody)
 {
   capnp::MallocMessageBuilder builder;
-  auto answer = builder.initRoot<wire::JobBodyAnswer>();
-  answer.setFound(aBody.has_value());
-  answer.setBody(ToData(aBody.value_or("")));
+  auto reply = builder.initRoot<wire::JobBodyAnswer>();
+  reply.setFound(aBody.has_value());
+  reply.setBody(ToData(aBody.value_or("")));
   return impl::Flatten(builder);
 }
 
 Result<std::optional<std::string>>
-DecodeJobBodyAnswer(std::string_view aBytes)
+DecodeJobBodyReply(std::string_view aBytes)
 {
   using Body = std::optional<std::string>;
   return impl::ReadMessage<wire::JobBodyAnswer, Body>(
@@ -84,26 +84,26 @@
 }
 
 std::string
-EncodeJobHandOn(const JobHandOn& aHandOn)
+EncodeJobHandover(const JobHandover& aHandover)
 {
   capnp::MallocMessageBuilder builder;
-  auto handOn = builder.initRoot<wire::JobHandOn>();
-  handOn.setJob(aHandOn.job_);
-  handOn.setSubmission(ToData(aHandOn.submission_));
+  auto handover = builder.initRoot<wire::JobHandOn>();
+  handover.setJob(aHandover.job_);
+  handover.setSubmission(ToData(aHandover.submission_));
   return impl::Flatten(builder);
 }
 
-Result<JobHandOn>
-DecodeJobHandOn(std::string_view aBytes)
+Result<JobHandover>
+DecodeJobHandover(std::string_view aBytes)
 {
-  return impl::ReadMessage<wire::JobHandOn, JobHandOn>(
-    aBytes, [](wire::JobHandOn::Reader aIn) -> Result<JobHandOn> {
-      return JobHandOn{ aIn.getJob().cStr(), FromData(aIn.getSubmission()) };
+  return impl::ReadMessage<wire::JobHandOn, JobHandover>(
+    aBytes, [](wire::JobHandOn::Reader aIn) -> Result<JobHandover> {
+      return JobHandover{ aIn.getJob().cStr(), FromData(aIn.getSubmission()) };
     });
 }
 
 std::string
-EncodeJobHandOnAnswer(std::uint8_t aEnd)
+EncodeJobHandoverReply(std::uint8_t aEnd)
 {
   capnp::MallocMessageBuilder builder;
   builder.initRoot<wire::JobHandOnAnswer>().setEnd(aEnd);
@@ -111,7 +111,7 @@
 }
 
 Result<std::uint8_t>
-DecodeJobHandOnAnswer(std::string_view aBytes)
+DecodeJobHandoverReply(std::string_view aBytes)
 {
   return impl::ReadMessage<wire::JobHandOnAnswer, std::uint8_t>(
     aBytes, [](wire::JobHandOnAnswer::Reader aIn) -> Result<std::uint8_t> {
@@ -120,16 +120,16 @@
 }
 
 std::string
-EncodeJobAnswer(std::string_view aResults)
+EncodeJobResultsReply(std::string_view aResults)
 {
   capnp::MallocMessageBuilder builder;
-  auto answer = builder.initRoot<wire::JobAnswer>();
-  answer.setResults(ToData(aResults));
+  auto reply = builder.initRoot<wire::JobAnswer>();
+  reply.setResults(ToData(aResults));
   return impl::Flatten(builder);
 }
 
 Result<std::string>
-DecodeJobAnswer(std::string_view aBytes)
+DecodeJobResultsReply(std::string_view aBytes)
 {
   return impl::ReadMessage<wire::JobAnswer, std::string>(
     aBytes, [](wire::JobAnswer::Reader aIn) -> Result<std::string> {
--- a/src/connection/suspicion_messages.cpp
+++ b/src/connection/suspicion_messages.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Longer times on the wire are cut to this; it keeps sums from overflow.
-constexpr std::uint64_t kMostMillis = 1000ULL * 60 * 60 * 24 * 30;
+constexpr std::uint64_t kMaxMillis = 1000ULL * 60 * 60 * 24 * 30;
 
 std::uint64_t
 ToMillis(Duration aDuration)
@@ -23,7 +23,7 @@
 Duration
 FromMillis(std::uint64_t aMillis)
 {
-  return std::chrono::milliseconds(std::min(aMillis, kMostMillis));
+  return std::chrono::milliseconds(std::min(aMillis, kMaxMillis));
 }
 
 void
--- a/src/connection/trainer_messages.cpp
+++ b/src/connection/trainer_messages.cpp
@@ -125,7 +125,7 @@
     case wire::TrainerRequest::CLOSE:
       return TrainerOperation{ CloseStep{ StepId{ aIn.getClose() } } };
     case wire::TrainerRequest::PROGRESS:
-      return TrainerOperation{ AskProgress{} };
+      return TrainerOperation{ GetProgress{} };
   }
   return Error{ ErrorKind::BadInput, "unknown trainer operation" };
 }
@@ -189,7 +189,7 @@
         root.setAnnounce(aNew.version_.Get());
       },
       [&](const CloseStep& aClose) { root.setClose(aClose.step_.Get()); },
-      [&](const AskProgress&) { root.setProgress(); },
+      [&](const GetProgress&) { root.setProgress(); },
     },
     aMessage.operation_);
   return impl::Flatten(builder);
--- a/src/process/router.cpp
+++ b/src/process/router.cpp
@@ -251,7 +251,7 @@
   TypicalUnitTime& typical = upstream->service_->typicalUnitTime_;
   if (aResult.timedOut_) {
     static_cast<void>(state.health_.OnTimeout(unitTime, typical, aNow));
-  } else if (aResult.end_ == AttemptEnd::Whole) {
+  } else if (aResult.end_ == AttemptEnd::Complete) {
     static_cast<void>(state.health_.OnComplete(unitTime, typical, aNow));
   } else {
     static_cast<void>(state.health_.OnFailure(aNow));
--- a/src/programs/controld/trainer_operations.cpp
+++ b/src/programs/controld/trainer_operations.cpp
@@ -147,7 +147,7 @@
         Announce(state, aNew.version_, aDone);
       },
       [&](const CloseStep& aClose) { Close(state, aClose.step_, aDone); },
-      [&](const AskProgress&) {
+      [&](const GetProgress&) {
         reply.announced_ = state.ledger_.Versions().Newest();
         reply.progress_ = state.ledger_.Progress();
         aDone(Encode(reply));
--- a/src/programs/entryd/completions.cpp
+++ b/src/programs/entryd/completions.cpp
@@ -92,7 +92,7 @@
     return AttemptEnd::NotRun;
   }
   if (aResponse.status_ >= 400 && aResponse.status_ < 500) {
-    return AttemptEnd::Whole;
+    return AttemptEnd::Complete;
   }
   const Json body = Json::parse(aResponse.body_, nullptr, false);
   if (aResponse.status_ != 200 || !body.is_object() ||
@@ -106,7 +106,7 @@
       return AttemptEnd::MaybeRun;
     }
   }
-  return AttemptEnd::Whole;
+  return AttemptEnd::Complete;
 }
 
 Result<std::string>
--- a/src/programs/entryd/crash_guard.cpp
+++ b/src/programs/entryd/crash_guard.cpp
@@ -93,7 +93,7 @@
   std::size_t refused = 0;
   {
     const std::lock_guard lock(mutex_);
-    if (aEnd == AttemptEnd::Whole) {
+    if (aEnd == AttemptEnd::Complete) {
       updates = quarantine_.OnCompleted(aUpstream, fingerprint);
     } else if (aHttpEnd == HttpEnd::Broken) {
       updates = quarantine_.OnBroken(aUpstream, fingerprint, host_.Now());
--- a/src/programs/entryd/dispatcher.cpp
+++ b/src/programs/entryd/dispatcher.cpp
@@ -127,7 +127,7 @@
     expired = queue_.TakeExpired(flights_, host_.Now());
   }
   for (const auto& [ticket, flight, wait] : expired) {
-    Finish(ticket, flight, MakeExpired(wait, flight->attempts_.GiveUp()));
+    Finish(ticket, flight, MakeExpired(wait, flight->attempts_.FinalStep()));
   }
 }
 
@@ -254,7 +254,7 @@
   const std::lock_guard lock(mutex_);
   const TimePoint now = host_.Now();
   Flight& flight = *aStart.flight_;
-  const auto tokens = aEnd == AttemptEnd::Whole
+  const auto tokens = aEnd == AttemptEnd::Complete
                         ? std::optional(CountTokens(aResult.response_))
                         : std::nullopt;
   TellRouter(aStart, aEnd, aResult);
@@ -298,7 +298,7 @@
                       HttpResult& aResult)
 {
   const NextStep next =
-    aFlight.attempts_.After(aFlight.spec_, aEnd, host_.Now());
+    aFlight.attempts_.RecordEnd(aFlight.spec_, aEnd, host_.Now());
   if (next == NextStep::FinishCompleted) {
     retries_.OnSuccess(aFlight.spec_.service_);
   }
@@ -307,15 +307,15 @@
   }
   const auto& sink = aFlight.message_.sink_;
   if (sink && sink->GivenUp()) {
-    return aFlight.attempts_.GiveUp();
+    return aFlight.attempts_.FinalStep();
   }
   if (!retries_.Take(aFlight.spec_.service_)) {
     host_.Measures().Count("marjoram_retries_refused_total");
-    return aFlight.attempts_.GiveUp();
+    return aFlight.attempts_.FinalStep();
   }
   if (aVerdict.refused_) {
     aResult.message_ = aVerdict.reason_;
-    return aFlight.attempts_.GiveUp();
+    return aFlight.attempts_.FinalStep();
   }
   return next;
 }
--- a/src/programs/entryd/flight.cpp
+++ b/src/programs/entryd/flight.cpp
@@ -71,10 +71,10 @@
     return false;
   }
   aFlight.tried_.push_back(aUpstream);
-  aFlight.won_ = aEnd == AttemptEnd::Whole;
+  aFlight.won_ = aEnd == AttemptEnd::Complete;
   if (!aFlight.won_ && !aFlight.sent_.empty()) {
     // The other attempt goes on; this one counts as made.
-    static_cast<void>(aFlight.attempts_.After(aFlight.spec_, aEnd, aNow));
+    static_cast<void>(aFlight.attempts_.RecordEnd(aFlight.spec_, aEnd, aNow));
     return false;
   }
   return true;
--- a/src/programs/entryd/live_messages.cpp
+++ b/src/programs/entryd/live_messages.cpp
@@ -42,7 +42,7 @@
 {
   const auto outcome = FindHeader(aResponse.headers_, kOutcomeHeader);
   const bool refused = outcome == ToString(Outcome::RefusedNotRun);
-  return refused ? AttemptEnd::NotRun : AttemptEnd::Whole;
+  return refused ? AttemptEnd::NotRun : AttemptEnd::Complete;
 }
 
 HttpHeaders
--- a/src/programs/entryd/stream_relay.cpp
+++ b/src/programs/entryd/stream_relay.cpp
@@ -148,11 +148,11 @@
   if (aResult.end_ == HttpEnd::NotSent) {
     return AttemptEnd::NotRun;
   }
-  if (stream_.Whole()) {
+  if (stream_.IsComplete()) {
     const Json usage{ { "completion_tokens", stream_.Tokens() } };
     aResult.response_.status_ = kOk;
     aResult.response_.body_ = Json{ { "usage", usage } }.dump();
-    return AttemptEnd::Whole;
+    return AttemptEnd::Complete;
   }
   if (aResult.end_ != HttpEnd::Whole || status_ == kOk) {
     return AttemptEnd::MaybeRun;
@@ -175,7 +175,7 @@
     reply_->Send(std::move(aResponse));
     return;
   }
-  if (!stream_.Whole()) {
+  if (!stream_.IsComplete()) {
     Json error = Json::parse(aResponse.body_, nullptr, false);
     if (!error.is_object() || !error.contains("error")) {
       error = Json{ { "error", { { "kind", "unknown" } } } };
--- a/src/programs/entryd/trainer_api.cpp
+++ b/src/programs/entryd/trainer_api.cpp
@@ -102,7 +102,7 @@
 TrainerOperation
 ReadProgress(const Json& /*aBody*/)
 {
-  return AskProgress{};
+  return GetProgress{};
 }
 
 /// One operation of the interface and its reader.
--- a/src/programs/gatewayd/job_api_reads.cpp
+++ b/src/programs/gatewayd/job_api_reads.cpp
@@ -162,7 +162,7 @@
 void
 JobApi::ServeResults(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto request = DecodeJobAsk(aCall.body_);
+  const auto request = DecodeJobResultsRequest(aCall.body_);
   const JobId job{ request ? request.value().job_ : std::string() };
   if (!request || !runner_.Owns(job)) {
     aDone(Error{ ErrorKind::NotFound, "this process does not own the job" });
@@ -188,7 +188,7 @@
   for (std::uint64_t i = aAfter; i < ledger->Listed().size(); ++i) {
     results.push_back(ledger->ResultOf(ledger->Listed()[i]));
   }
-  aDone(EncodeJobAnswer(WriteResultsRecord(results)));
+  aDone(EncodeJobResultsReply(WriteResultsRecord(results)));
 }
 
 void
@@ -270,10 +270,10 @@
   RpcCall call;
   call.topic_ = RpcTopic::JobBody;
   call.timeout_ = kBodyTimeout;
-  call.body_ = EncodeJobBodyAsk({ aQuery.job_.Get(), aQuery.item_.Get() });
+  call.body_ = EncodeJobBodyRequest({ aQuery.job_.Get(), aQuery.item_.Get() });
   host_.Peers().Call(
     aOwner, std::move(call), [this, aQuery, aReply](const RpcReply& aAnswer) {
-      auto body = aAnswer ? DecodeJobBodyAnswer(aAnswer.value())
+      auto body = aAnswer ? DecodeJobBodyReply(aAnswer.value())
                           : Result<std::optional<std::string>>(aAnswer.error());
       if (body) {
         SendBody(*aReply, std::move(body).value());
@@ -308,14 +308,14 @@
 void
 JobApi::ServeBody(const RpcCall& aCall, const RpcDone& aDone)
 {
-  const auto request = DecodeJobBodyAsk(aCall.body_);
+  const auto request = DecodeJobBodyRequest(aCall.body_);
   const JobLedger* ledger =
     request ? runner_.Find(JobId{ request.value().job_ }) : nullptr;
   if (ledger == nullptr) {
     aDone(Error{ ErrorKind::NotFound, "this process does not own the job" });
     return;
   }
-  aDone(EncodeJobBodyAnswer(
+  aDone(EncodeJobBodyReply(
     FindBody(ledger->Spec(), ItemId{ request.value().item_ })));
 }
 
--- a/src/programs/gatewayd/job_intake.cpp
+++ b/src/programs/gatewayd/job_intake.cpp
@@ -29,7 +29,7 @@
 AcceptOutcome
 ReadForwardOutcome(const RpcReply& aReply)
 {
-  const auto end = aReply ? DecodeJobHandOnAnswer(aReply.value())
+  const auto end = aReply ? DecodeJobHandoverReply(aReply.value())
                           : Result<std::uint8_t>(aReply.error());
   const bool known =
     end && end.value() <= static_cast<std::uint8_t>(AcceptOutcome::Unknown);
@@ -178,7 +178,7 @@
   RpcCall call;
   call.topic_ = RpcTopic::JobHandOn;
   call.timeout_ = kForwardTimeout;
-  call.body_ = EncodeJobHandOn(
+  call.body_ = EncodeJobHandover(
     { aSubmission->job_.Get(), WriteSubmissionRecord(aSubmission->record_) });
   host_.Peers().Call(
     aOwner,
@@ -210,13 +210,13 @@
 JobIntake::ServeForwarded(const RpcCall& aCall, const RpcDone& aDone)
 {
   const auto answer = [aDone](AcceptOutcome aOutcome) {
-    aDone(EncodeJobHandOnAnswer(static_cast<std::uint8_t>(aOutcome)));
+    aDone(EncodeJobHandoverReply(static_cast<std::uint8_t>(aOutcome)));
   };
   if (!open_) {
     answer(AcceptOutcome::Refused);
     return;
   }
-  const auto forwarded = DecodeJobHandOn(aCall.body_);
+  const auto forwarded = DecodeJobHandover(aCall.body_);
   auto record = forwarded ? ReadSubmissionRecord(forwarded.value().submission_)
                           : Result<JobSubmissionRecord>(forwarded.error());
   auto spec = record ? host_.Formats().ReadSubmission(record.value().body_)
--- a/src/programs/gatewayd/remote_results.cpp
+++ b/src/programs/gatewayd/remote_results.cpp
@@ -57,13 +57,13 @@
   RpcCall call;
   call.topic_ = RpcTopic::Job;
   call.timeout_ = kOwnerTimeout + aWait;
-  call.body_ = EncodeJobAsk({ aJob.Get(), after, aWait });
+  call.body_ = EncodeJobResultsRequest({ aJob.Get(), after, aWait });
   host_.Peers().Call(
     aOwner,
     std::move(call),
     [this, aJob, after, done = std::move(aDone)](const RpcReply& aReply) {
-      const auto answer =
-        aReply ? DecodeJobAnswer(aReply.value()) : Result<std::string>(aReply);
+      const auto answer = aReply ? DecodeJobResultsReply(aReply.value())
+                                 : Result<std::string>(aReply);
       auto results = answer ? ReadResultsRecord(answer.value())
                             : Result<std::vector<JobResult>>(answer.error());
       const auto it = cache_.find(aJob);
--- a/src/programs/load/router_policy.cpp
+++ b/src/programs/load/router_policy.cpp
@@ -67,7 +67,7 @@
   {
     AttemptResult done;
     done.end_ =
-      aAttempt.result_.whole_ ? AttemptEnd::Whole : AttemptEnd::MaybeRun;
+      aAttempt.result_.whole_ ? AttemptEnd::Complete : AttemptEnd::MaybeRun;
     done.timedOut_ = aAttempt.cancelled_;
     done.sentAt_ = aAttempt.sentAt_;
     done.tokens_ = aAttempt.result_.generatedTokens_;
--- a/src/request/attempts.cpp
+++ b/src/request/attempts.cpp
@@ -3,24 +3,24 @@
 namespace marjoramtally {
 
 NextStep
-Attempts::After(const RequestSpec& aRequest,
-                AttemptEnd aEnd,
-                TimePoint aNow) noexcept
+Attempts::RecordEnd(const RequestSpec& aRequest,
+                    AttemptEnd aEnd,
+                    TimePoint aNow) noexcept
 {
   ++made_;
-  if (aEnd == AttemptEnd::Whole) {
+  if (aEnd == AttemptEnd::Complete) {
     return NextStep::FinishCompleted;
   }
   mayHaveRun_ = mayHaveRun_ || aEnd == AttemptEnd::MaybeRun;
   const bool safe = aRequest.idempotent_ || !mayHaveRun_;
-  if (safe && made_ < most_ && aNow < aRequest.deadline_) {
+  if (safe && made_ < maxAttempts_ && aNow < aRequest.deadline_) {
     return NextStep::Retry;
   }
-  return GiveUp();
+  return FinalStep();
 }
 
 NextStep
-Attempts::GiveUp() const noexcept
+Attempts::FinalStep() const noexcept
 {
   return mayHaveRun_ ? NextStep::FinishUnknown : NextStep::FinishRefused;
 }
--- a/src/request/completion_stream.cpp
+++ b/src/request/completion_stream.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view kDone = "[DONE]";
 
 Error
-Broken(const char* aMessage)
+InvalidStream(const char* aMessage)
 {
   return Error{ ErrorKind::BadInput, aMessage };
 }
@@ -25,8 +25,8 @@
 {
   parser_ = {};
   fault_.reset();
-  next_ = 0;
-  bytes_ = 0;
+  nextToken_ = 0;
+  textOffset_ = 0;
   started_ = false;
   finished_ = false;
 }
@@ -44,7 +44,7 @@
   }
   std::string out;
   for (const std::string& event : events.value()) {
-    auto passed = TakeEvent(event);
+    auto passed = ProcessEvent(event);
     if (!passed) {
       fault_ = passed.error();
       break;
@@ -59,115 +59,115 @@
 }
 
 Result<std::string>
-CompletionStream::TakeEvent(const std::string& aData)
+CompletionStream::ProcessEvent(const std::string& aData)
 {
   if (done_) {
-    return Broken("an event after the final one");
+    return InvalidStream("an event after the final one");
   }
   if (aData == kDone) {
     if (!finished_) {
-      return Broken("the final event came without a finish reason");
+      return InvalidStream("the final event came without a finish reason");
     }
-    if (next_ < tokens_ || bytes_ < text_.size()) {
+    if (nextToken_ < tokens_ || textOffset_ < text_.size()) {
       contradicted_ = true;
-      return Broken("a new attempt ended before what the caller holds");
+      return InvalidStream("a new attempt ended before what the caller holds");
     }
     done_ = true;
     return FormatEvent(kDone);
   }
-  const auto piece = ReadPiece(aData);
-  if (!piece) {
-    return piece.error();
+  const auto chunk = ParseChunk(aData);
+  if (!chunk) {
+    return chunk.error();
   }
-  return TakePiece(aData, piece.value());
+  return ProcessChunk(aData, chunk.value());
 }
 
-Result<CompletionStream::Piece>
-CompletionStream::ReadPiece(const std::string& aData) const
+Result<CompletionStream::Chunk>
+CompletionStream::ParseChunk(const std::string& aData) const
 {
   try {
     const Json event = Json::parse(aData);
     const Json& choice = event.at("choices").at(0);
-    Piece piece;
-    piece.text_ = choice.value("text", "");
-    piece.finished_ =
+    Chunk chunk;
+    chunk.text_ = choice.value("text", "");
+    chunk.finished_ =
       choice.contains("finish_reason") && choice["finish_reason"].is_string();
-    piece.tokens_ = event.value("tokens", piece.text_.empty() ? 0U : 1U);
-    piece.offset_ = event.value("offset", next_);
-    piece.version_ =
+    chunk.tokens_ = event.value("tokens", chunk.text_.empty() ? 0U : 1U);
+    chunk.offset_ = event.value("offset", nextToken_);
+    chunk.version_ =
       WeightVersion{ event.value("weight_version", std::uint64_t{ 0 }) };
-    return piece;
+    return chunk;
   } catch (const Json::exception&) {
-    return Broken("an event of the stream is no completion");
+    return InvalidStream("an event of the stream is no completion");
   }
 }
 
 Result<std::string>
-CompletionStream::TakePiece(const std::string& aData, const Piece& aPiece)
+CompletionStream::ProcessChunk(const std::string& aData, const Chunk& aChunk)
 {
   if (!started_) {
     started_ = true;
     // An attempt starts anew or right after what the caller holds.
-    if (aPiece.offset_ == tokens_) {
-      next_ = tokens_;
-      bytes_ = text_.size();
+    if (aChunk.offset_ == tokens_) {
+      nextToken_ = tokens_;
+      textOffset_ = text_.size();
     }
   }
-  if (finished_ || aPiece.offset_ != next_) {
-    return Broken("the stream has a gap");
+  if (finished_ || aChunk.offset_ != nextToken_) {
+    return InvalidStream("the stream has a gap");
   }
   const std::uint32_t held = tokens_;
-  const auto text = NewText(aPiece);
+  const auto text = AppendNewText(aChunk);
   if (!text) {
     return text.error();
   }
-  next_ += aPiece.tokens_;
-  tokens_ = std::max(tokens_, next_);
-  finished_ = aPiece.finished_;
-  AddSpan(aPiece);
-  if (next_ <= held && !finished_) {
+  nextToken_ += aChunk.tokens_;
+  tokens_ = std::max(tokens_, nextToken_);
+  finished_ = aChunk.finished_;
+  AddSpan(aChunk);
+  if (nextToken_ <= held && !finished_) {
     return std::string();
   }
-  return FormatEvent(Rewrite(aData, aPiece, text.value()));
+  return FormatEvent(Rewrite(aData, aChunk, text.value()));
 }
 
 Result<std::string>
-CompletionStream::NewText(const Piece& aPiece)
+CompletionStream::AppendNewText(const Chunk& aChunk)
 {
   const std::size_t known = std::min(
-    text_.size() - std::min(bytes_, text_.size()), aPiece.text_.size());
-  if (text_.compare(bytes_, known, aPiece.text_, 0, known) != 0) {
+    text_.size() - std::min(textOffset_, text_.size()), aChunk.text_.size());
+  if (text_.compare(textOffset_, known, aChunk.text_, 0, known) != 0) {
     contradicted_ = true;
-    return Broken("a new attempt gave a different text");
+    return InvalidStream("a new attempt gave a different text");
   }
-  std::string fresh = aPiece.text_.substr(known);
-  bytes_ += aPiece.text_.size();
+  std::string fresh = aChunk.text_.substr(known);
+  textOffset_ += aChunk.text_.size();
   text_ += fresh;
   return fresh;
 }
 
 void
-CompletionStream::AddSpan(const Piece& aPiece)
+CompletionStream::AddSpan(const Chunk& aChunk)
 {
-  if (aPiece.offset_ == 0) {
+  if (aChunk.offset_ == 0) {
     spans_.clear();
   }
-  if (aPiece.tokens_ == 0) {
+  if (aChunk.tokens_ == 0) {
     return;
   }
-  if (spans_.empty() || spans_.back().version_ != aPiece.version_) {
-    spans_.push_back({ aPiece.version_, aPiece.offset_, aPiece.offset_ });
+  if (spans_.empty() || spans_.back().version_ != aChunk.version_) {
+    spans_.push_back({ aChunk.version_, aChunk.offset_, aChunk.offset_ });
   }
-  spans_.back().to_ = aPiece.offset_ + aPiece.tokens_;
+  spans_.back().to_ = aChunk.offset_ + aChunk.tokens_;
 }
 
 std::string
 CompletionStream::Rewrite(const std::string& aData,
-                          const Piece& aPiece,
+                          const Chunk& aChunk,
                           const std::string& aNewText) const
 {
   Json event = Json::parse(aData);
-  const bool same = aNewText.size() == aPiece.text_.size();
+  const bool same = aNewText.size() == aChunk.text_.size();
   const bool labels = event.contains("weight_versions");
   if (same && !labels) {
     return aData;
--- a/src/request/event_relay.cpp
+++ b/src/request/event_relay.cpp
@@ -9,7 +9,7 @@
 {
   fault_.clear();
   event_.clear();
-  line_ = 0;
+  lineStart_ = 0;
 }
 
 std::string
@@ -24,11 +24,11 @@
     if (event_.size() > EventStreamParser::kMaxEventBytes) {
       fault_ = "an event of the stream is too long";
     } else if (end != std::string_view::npos && EventEnds()) {
-      TakeEvent();
+      CheckEvent();
       if (fault_.empty()) {
         passed += event_;
         event_.clear();
-        line_ = 0;
+        lineStart_ = 0;
       }
     }
   }
@@ -39,13 +39,13 @@
 bool
 EventRelay::EventEnds() noexcept
 {
-  const std::string_view line = std::string_view(event_).substr(line_);
-  line_ = event_.size();
+  const std::string_view line = std::string_view(event_).substr(lineStart_);
+  lineStart_ = event_.size();
   return line == "\n" || line == "\r\n";
 }
 
 void
-EventRelay::TakeEvent()
+EventRelay::CheckEvent()
 {
   EventStreamParser parser;
   const auto events = parser.FeedEvents(event_);
@@ -55,7 +55,7 @@
   }
   const auto number = events.value().front().id_;
   if (!number) {
-    numbered_ = false;
+    allNumbered_ = false;
   } else if (last_ && *number != *last_ + 1) {
     fault_ = "event " + std::to_string(*number) + " came after event " +
              std::to_string(*last_);
--- a/src/request/event_stream.cpp
+++ b/src/request/event_stream.cpp
@@ -59,13 +59,13 @@
       break;
     }
     aBytes.remove_prefix(end + 1);
-    TakeLine(events);
+    ProcessLine(events);
   }
   return events;
 }
 
 void
-EventStreamParser::TakeLine(std::vector<ServerEvent>& aEvents)
+EventStreamParser::ProcessLine(std::vector<ServerEvent>& aEvents)
 {
   std::string_view line = line_;
   if (line.ends_with('\r')) {
@@ -82,7 +82,7 @@
   }
   const FieldLine field = SplitField(line);
   if (field.name_ == kDataField) {
-    TakeData(field.value_);
+    AppendData(field.value_);
   } else if (field.name_ == kIdField) {
     event_.id_ = ParseNumber(field.value_, 0, UINT64_MAX);
   } else if (!labelField_.empty() && field.name_ == labelField_) {
@@ -92,7 +92,7 @@
 }
 
 void
-EventStreamParser::TakeData(std::string_view aValue)
+EventStreamParser::AppendData(std::string_view aValue)
 {
   if (hasData_) {
     event_.data_.push_back('\n');
--- a/tests/test_control_faults.cpp
+++ b/tests/test_control_faults.cpp
@@ -85,7 +85,7 @@
 {
   // Not destroyed when it hangs.
   auto process = std::make_unique<Process>();
-  REQUIRE(process->Ask(AskProgress{}));
+  REQUIRE(process->Ask(GetProgress{}));
   process->SpendBudget();
   std::promise<bool> answered;
   auto answer = answered.get_future();
--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -305,12 +305,12 @@
   const std::string text = GENERATE("", "no submission");
   RpcCall call;
   call.topic_ = RpcTopic::JobHandOn;
-  call.body_ = EncodeJobHandOn({ "j1", text });
-  pair.second_.peers_.handlers_.at(
-    RpcTopic::JobHandOn)(call, [&end](const RpcReply& aReply) {
-    end =
-      static_cast<AcceptOutcome>(DecodeJobHandOnAnswer(aReply.value()).value());
-  });
+  call.body_ = EncodeJobHandover({ "j1", text });
+  pair.second_.peers_.handlers_.at(RpcTopic::JobHandOn)(
+    call, [&end](const RpcReply& aReply) {
+      end = static_cast<AcceptOutcome>(
+        DecodeJobHandoverReply(aReply.value()).value());
+    });
   pair.timers_.Advance(50ms);
   REQUIRE(end == AcceptOutcome::Refused);
   REQUIRE_FALSE(pair.store_.records_.contains(job_keys::Owner(JobId{ "j1" })));
@@ -319,17 +319,20 @@
 TEST_CASE("messages about jobs are decoded as they were encoded")
 {
   const std::string bytes("a\0b", 3);
-  const auto read = DecodeJobAsk(EncodeJobAsk({ "j", 7, 800ms })).value();
+  const auto read =
+    DecodeJobResultsRequest(EncodeJobResultsRequest({ "j", 7, 800ms })).value();
   REQUIRE(read.after_ == 7);
   REQUIRE(read.wait_ == 800ms);
-  const auto ask = DecodeJobBodyAsk(EncodeJobBodyAsk({ "j", "i" })).value();
+  const auto ask =
+    DecodeJobBodyRequest(EncodeJobBodyRequest({ "j", "i" })).value();
   REQUIRE(ask.job_ == "j");
   REQUIRE(ask.item_ == "i");
-  REQUIRE(DecodeJobBodyAnswer(EncodeJobBodyAnswer(bytes)).value() == bytes);
-  REQUIRE_FALSE(DecodeJobBodyAnswer(EncodeJobBodyAnswer({})).value());
-  const auto handOn = DecodeJobHandOn(EncodeJobHandOn({ "j", bytes })).value();
+  REQUIRE(DecodeJobBodyReply(EncodeJobBodyReply(bytes)).value() == bytes);
+  REQUIRE_FALSE(DecodeJobBodyReply(EncodeJobBodyReply({})).value());
+  const auto handOn =
+    DecodeJobHandover(EncodeJobHandover({ "j", bytes })).value();
   REQUIRE(handOn.job_ == "j");
   REQUIRE(handOn.submission_ == bytes);
-  REQUIRE(DecodeJobHandOnAnswer(EncodeJobHandOnAnswer(3)).value() == 3);
-  REQUIRE_FALSE(DecodeJobHandOn("short"));
+  REQUIRE(DecodeJobHandoverReply(EncodeJobHandoverReply(3)).value() == 3);
+  REQUIRE_FALSE(DecodeJobHandover("short"));
 }
--- a/tests/test_request.cpp
+++ b/tests/test_request.cpp
@@ -11,8 +11,8 @@
   RequestSpec spec;
   spec.idempotent_ = false;
   Attempts attempts(4);
-  CHECK(attempts.After(spec, AttemptEnd::NotRun, {}) == NextStep::Retry);
-  CHECK(attempts.After(spec, AttemptEnd::MaybeRun, {}) ==
+  CHECK(attempts.RecordEnd(spec, AttemptEnd::NotRun, {}) == NextStep::Retry);
+  CHECK(attempts.RecordEnd(spec, AttemptEnd::MaybeRun, {}) ==
         NextStep::FinishUnknown);
 }
 
@@ -20,8 +20,8 @@
 {
   RequestSpec spec;
   Attempts attempts(2);
-  CHECK(attempts.After(spec, AttemptEnd::MaybeRun, {}) == NextStep::Retry);
-  CHECK(attempts.After(spec, AttemptEnd::NotRun, {}) ==
+  CHECK(attempts.RecordEnd(spec, AttemptEnd::MaybeRun, {}) == NextStep::Retry);
+  CHECK(attempts.RecordEnd(spec, AttemptEnd::NotRun, {}) ==
         NextStep::FinishUnknown);
 }
 
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -84,7 +84,7 @@
       const bool isSlow = picked->id_ == aSlow;
       slow += isSlow ? 1 : 0;
       now_ = now_ + (isSlow ? aSlowTime : Duration(milliseconds(10)));
-      Done(picked->id_, sentAt, AttemptEnd::Whole);
+      Done(picked->id_, sentAt, AttemptEnd::Complete);
     }
     return slow;
   }
@@ -181,7 +181,7 @@
   CHECK(fixture.Send());
   CHECK(fixture.Send());
   CHECK_FALSE(fixture.Send());
-  fixture.Done(RouterFixture::Id(0), sentAt, AttemptEnd::Whole);
+  fixture.Done(RouterFixture::Id(0), sentAt, AttemptEnd::Complete);
   CHECK(fixture.Send());
 }
 
@@ -251,7 +251,7 @@
     if (picked->id_ == RouterFixture::Id(0)) {
       ++stuck;
     } else {
-      fixture.Done(picked->id_, sentAt, AttemptEnd::Whole);
+      fixture.Done(picked->id_, sentAt, AttemptEnd::Complete);
     }
   }
   CHECK(stuck < 15);
--- a/tests/test_streams.cpp
+++ b/tests/test_streams.cpp
@@ -50,16 +50,16 @@
   stream.StartAttempt();
   const std::string first = Token(0, "ab");
   CHECK(stream.Feed(first).value() == first);
-  CHECK_FALSE(stream.Whole());
+  CHECK_FALSE(stream.IsComplete());
   SECTION("whole")
   {
     CHECK(stream.Feed(Last(1) + kDone));
-    CHECK(stream.Whole());
+    CHECK(stream.IsComplete());
   }
   SECTION("no finish reason")
   {
     CHECK_FALSE(stream.Feed(kDone));
-    CHECK_FALSE(stream.Whole());
+    CHECK_FALSE(stream.IsComplete());
   }
   SECTION("a token is missing")
   {
@@ -83,7 +83,7 @@
     REQUIRE(stream.Feed(Token(2, "ef", 2)));
     const auto last = stream.Feed(Last(3) + kDone);
     REQUIRE(last);
-    CHECK(stream.Whole());
+    CHECK(stream.IsComplete());
     CHECK(stream.Text() == "abcdef");
     // The labels name the versions of both attempts.
     CHECK(last.value().find(R"({"from":0,"to":2,"version":1})") !=
@@ -99,14 +99,14 @@
     REQUIRE(passed);
     CHECK(passed.value().find(R"("text":"ef")") != std::string::npos);
     REQUIRE(stream.Feed(Last(3) + kDone));
-    CHECK(stream.Whole());
+    CHECK(stream.IsComplete());
     CHECK(stream.Text() == "abcdef");
   }
   SECTION("an engine that says something else")
   {
     CHECK_FALSE(stream.Feed(Token(0, "ax")));
     CHECK(stream.Contradicted());
-    CHECK_FALSE(stream.Whole());
+    CHECK_FALSE(stream.IsComplete());
   }
   SECTION("an engine that says less")
   {
@@ -130,5 +130,5 @@
   held += stream.Feed(Token(stream.Tokens(), "b") + Last(2) + kDone).value();
   CHECK(held.starts_with(Token(0, "a") + Token(1, "b")));
   CHECK(held.ends_with(kDone));
-  CHECK(stream.Whole());
+  CHECK(stream.IsComplete());
 }
