--- a/include/marjoramtally/base/backoff.hpp
+++ b/include/marjoramtally/base/backoff.hpp
@@ -1,5 +1,4 @@
-/// Pauses between tries: each twice as long as the one before, with jitter,
-/// up to a longest one.
+/// Exponential backoff with jitter.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -9,7 +8,8 @@
 
 namespace marjoramtally {
 
-/// Pauses of one sequence of tries.
+/// Pauses between the attempts of one operation. Each is twice as long as the
+/// previous one, up to a maximum, minus jitter.
 /// @example `Backoff pauses(50ms, 2s, seed); timers.After(pauses.Next(), …);`
 class Backoff
 {
@@ -24,7 +24,7 @@
   {
   }
 
-  /// @returns the next pause, from half of it to all of it at random
+  /// @returns the next pause, reduced by a random jitter of up to one half
   constexpr Duration Next() noexcept
   {
     const Duration pause = next_;
@@ -33,7 +33,7 @@
     const auto jitter = static_cast<Duration::rep>(random_.Below(half + 1));
     return pause - Duration{ jitter };
   }
-  /// Starts over after a success.
+  /// Restarts with the first pause, after a success.
   constexpr void Reset() noexcept { next_ = first_; }
 
 private:
--- a/include/marjoramtally/base/clock.hpp
+++ b/include/marjoramtally/base/clock.hpp
@@ -1,5 +1,5 @@
-/// The clock of the runtime. Decisions take `now` as an argument; only
-/// drivers own a clock, and tests pause and advance it.
+/// Clocks and time points. Decision code takes the current time as an argument;
+/// only the code that drives it owns a clock, which tests can control.
 #pragma once
 
 #include <atomic>
@@ -36,7 +36,7 @@
   return aLeft.sinceStart_ - aRight.sinceStart_;
 }
 
-/// The latest instant; used as "never".
+/// The latest instant; means "never".
 inline constexpr TimePoint kNever{ Duration::max() };
 
 /// Source of monotonic time.
@@ -44,27 +44,26 @@
 {
 public:
   virtual ~Clock() = default;
-  /// @returns the present instant
   [[nodiscard]] virtual TimePoint Now() const noexcept = 0;
 };
 
-/// The machine's monotonic clock.
+/// Monotonic clock of the machine.
 class SystemClock final : public Clock
 {
 public:
   [[nodiscard]] TimePoint Now() const noexcept override;
 };
 
-/// The machine's monotonic clock that also counts the time for which the
-/// machine was suspended; for leases, which go on running elsewhere.
+/// Monotonic clock that includes the time for which the machine was suspended.
+/// Used for leases, whose time continues to run on other machines.
 class BootClock final : public Clock
 {
 public:
   [[nodiscard]] TimePoint Now() const noexcept override;
 };
 
-/// The time of day since the Unix epoch. It may jump, and clocks of other
-/// machines differ by some seconds.
+/// Time of day since the Unix epoch. It may jump, and may differ from other
+/// machines by some seconds.
 class WallClock final : public Clock
 {
 public:
@@ -78,14 +77,13 @@
   return std::chrono::floor<std::chrono::milliseconds>(aDuration).count();
 }
 
-/// A paused clock that moves only when told to.
+/// A clock that advances only when `Advance` is called.
 /// @example `ManualClock clock; clock.Advance(std::chrono::seconds(1));`
 class ManualClock final : public Clock
 {
 public:
   [[nodiscard]] TimePoint Now() const noexcept override;
-  /// Moves the clock forward.
-  /// @param aDelta the distance; negative values are ignored
+  /// @param aDelta time to advance by; negative values are ignored
   void Advance(Duration aDelta) noexcept;
 
 private:
--- a/include/marjoramtally/base/fields.hpp
+++ b/include/marjoramtally/base/fields.hpp
@@ -1,4 +1,4 @@
-/// Checked reading of INI sections into structs, by tables of member
+/// Reads INI sections into structs with validation, driven by tables of member
 /// pointers.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace marjoramtally {
 
-/// One key of a section and the member it sets.
+/// A key of a section and the struct member that it sets.
 template<typename T>
 struct FieldSpec
 {
@@ -18,14 +18,14 @@
   std::variant<std::string T::*, std::uint64_t T::*, Duration T::*, bool T::*>
     member_;
   bool required_ = false;
-  /// Bounds of numbers as they stand, of durations in microseconds.
+  /// Inclusive bounds of numbers, or of durations in microseconds.
   std::uint64_t min_ = 0;
   std::uint64_t max_ = UINT64_MAX;
 };
 
 namespace impl {
 
-/// Setters return an empty text or what is wrong with the value.
+/// Setters return an error text, empty if the value is valid.
 std::string
 SetField(std::string& aOut,
          const std::string& aText,
@@ -44,7 +44,7 @@
 std::string
 SetField(bool& aOut, const std::string& aText, std::uint64_t, std::uint64_t);
 
-/// Reports keys that no field takes.
+/// Adds a finding for a key that no field has.
 void
 ReportUnknownKey(const std::string& aSection,
                  const std::string& aKey,
@@ -53,10 +53,10 @@
 
 } // namespace impl
 
-/// Fills a struct from a section; every problem becomes a finding.
+/// Fills a struct from a section and adds a finding for each problem.
 ///
-/// @param aName the section's name, for messages
-/// @param aPlace where a missing required key is reported
+/// @param aName name of the section, for messages
+/// @param aPlace location reported for missing required keys
 template<typename T>
 void
 ReadFields(const std::string& aName,
--- a/include/marjoramtally/base/findings.hpp
+++ b/include/marjoramtally/base/findings.hpp
@@ -1,5 +1,4 @@
-/// Findings: everything wrong with an input, each with its place, collected
-/// and reported together.
+/// Findings: all problems of an input with their locations, reported together.
 #pragma once
 
 #include <string>
@@ -8,37 +7,35 @@
 
 namespace marjoramtally {
 
-/// A place in a text that a person can open.
+/// Location in a source text.
 struct SourcePlace
 {
-  /// File name, or the name of the input where there is no file.
+  /// File name, or the name of the input if it is not a file.
   std::string file_;
-  /// Line counted from 1; 0 when the input has no lines.
+  /// Line number, starting at 1; 0 if the input has no lines.
   std::uint32_t line_ = 0;
   auto operator<=>(const SourcePlace&) const = default;
 };
 
-/// One thing that is wrong.
+/// One problem of an input.
 struct Finding
 {
   SourcePlace place_;
   std::string message_;
 };
 
-/// A collection of findings in the order found.
+/// Findings in the order in which they were added.
 class Findings
 {
 public:
-  /// Records one finding.
   void Add(SourcePlace aPlace, std::string aMessage);
-  /// Appends all of another collection.
   void Append(const Findings& aOther);
   [[nodiscard]] bool empty() const noexcept { return items_.empty(); }
   [[nodiscard]] const std::vector<Finding>& Items() const noexcept
   {
     return items_;
   }
-  /// @returns one `file:line: message` line for each finding
+  /// @returns one line per finding, as `file:line: message`
   [[nodiscard]] std::string Render() const;
 
 private:
--- a/include/marjoramtally/base/ids.hpp
+++ b/include/marjoramtally/base/ids.hpp
@@ -1,39 +1,40 @@
-/// The identifiers that cross subsystems.
+/// Identifiers used across subsystems.
 #pragma once
 
 #include "marjoramtally/base/strong.hpp"
 
 namespace marjoramtally {
 
-/// One of our processes' host, as named in its settings.
+/// An instance that runs a process of this system, as named in its settings.
 using InstanceId = Strong<std::string, struct InstanceTag>;
 /// An availability zone.
 using ZoneId = Strong<std::string, struct ZoneTag>;
-/// A service (a model or a plain service) that callers ask for.
+/// A service (a model or a plain service) that callers request.
 using ServiceId = Strong<std::string, struct ServiceTag>;
-/// One process that answers requests of a service.
+/// A process that answers requests for a service.
 using UpstreamId = Strong<std::string, struct UpstreamTag>;
-/// When an upstream started, in Unix milliseconds by its own clock. Together
-/// with its id it names one incarnation; 0: it does not say.
+/// Start time of an upstream in Unix milliseconds, by its own clock. Together
+/// with the upstream id it identifies one incarnation; 0 if not reported.
 using UpstreamStart = Strong<std::uint64_t, struct UpstreamStartTag>;
-/// A customer whose callers and trainers send requests under keys.
+/// A customer; its callers and trainers authenticate with API keys.
 using CustomerId = Strong<std::string, struct CustomerTag>;
 /// A trainer, as named in the rules.
 using TrainerId = Strong<std::string, struct TrainerTag>;
-/// One request as its caller knows it, stable over resends.
+/// Request id chosen by the caller; the same for all resends of a request.
 using RequestId = Strong<std::string, struct RequestTag>;
-/// Names a non-idempotent request so that it runs at most once.
+/// Identifies a non-idempotent request so that it runs at most once.
 using IdempotencyKey = Strong<std::string, struct IdempotencyTag>;
-/// A weight version of a model; versions of one model grow.
+/// A weight version of a model; increases with each new version of the model.
 using WeightVersion = Strong<std::uint64_t, struct WeightVersionTag>;
-/// A training step of one trainer; steps grow.
+/// A training step of a trainer; increases with each step.
 using StepId = Strong<std::uint64_t, struct StepTag>;
-/// Revision of the accepted configuration; grows with each acceptance.
+/// Revision of the accepted configuration; increases with each accepted change.
 using ConfigRevision = Strong<std::uint64_t, struct ConfigRevisionTag>;
-/// Fencing number: the store's revision of the lease that it belongs to.
+/// Fencing number: store revision of the lease that it belongs to.
 using FencingNumber = Strong<std::uint64_t, struct FencingTag>;
 
-/// Identity of a sample: a generation is a candidate for it.
+/// Identifies a sample by step, group and member. Several generations may be
+/// candidates for one sample.
 struct SampleId
 {
   StepId step_;
--- a/include/marjoramtally/base/index_set.hpp
+++ b/include/marjoramtally/base/index_set.hpp
@@ -14,14 +14,16 @@
 class IndexSet
 {
 public:
-  /// Largest number of indexes a set may span.
+  /// Exclusive upper bound of the indexes.
   static constexpr std::uint32_t kMaxIndex = 1U << 20U;
 
-  /// @returns nothing unless the text is ascending ranges below the limit
+  /// @returns nothing unless the text is a list of ascending ranges below
+  /// `kMaxIndex`
   [[nodiscard]] static std::optional<IndexSet> Parse(std::string_view aText);
   [[nodiscard]] std::string Format() const;
   [[nodiscard]] bool Contains(std::uint32_t aIndex) const noexcept;
-  /// @returns whether the index is new; indexes over the limit are not taken
+  /// @returns whether the index was inserted; false if it is already in the set
+  /// or not below `kMaxIndex`
   bool Insert(std::uint32_t aIndex);
   [[nodiscard]] std::uint32_t size() const noexcept { return count_; }
   bool operator==(const IndexSet& aOther) const noexcept;
--- a/include/marjoramtally/base/ini.hpp
+++ b/include/marjoramtally/base/ini.hpp
@@ -1,4 +1,4 @@
-/// INI text as entries that know their place.
+/// INI parser that keeps the source location of each value.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// One value with the place it came from.
+/// A value and its source location.
 struct IniValue
 {
   std::string text_;
@@ -21,11 +21,10 @@
 /// Sections by name; keys before any section belong to "".
 using IniDocument = std::map<std::string, IniSection>;
 
-/// Parses INI text. Within one text a repeated key is a finding.
+/// Parses INI text. A key that is repeated within a section is a finding.
 ///
-/// @param aName the name that places carry
-/// @param aText the text
-/// @returns the document or every finding
+/// @param aName file name reported in source locations
+/// @returns the document, or all findings
 [[nodiscard]] Checked<IniDocument>
 ParseIni(const std::string& aName, std::string_view aText);
 
--- a/include/marjoramtally/base/overloaded.hpp
+++ b/include/marjoramtally/base/overloaded.hpp
@@ -1,9 +1,9 @@
-/// One callable of several, for visiting variants.
+/// Overload set of lambdas for `std::visit`.
 #pragma once
 
 namespace marjoramtally {
 
-/// Turns a visitor's overloads into one callable.
+/// Combines several callables into one overloaded callable.
 /// @example `std::visit(Overloaded{ [](int) {}, [](double) {} }, value);`
 template<typename... Functions>
 struct Overloaded : Functions...
--- a/include/marjoramtally/base/random.hpp
+++ b/include/marjoramtally/base/random.hpp
@@ -1,11 +1,11 @@
-/// Small seeded random numbers; the same seed gives the same run.
+/// Deterministic pseudo-random numbers: the same seed gives the same sequence.
 #pragma once
 
 #include <cstdint>
 
 namespace marjoramtally {
 
-/// SplitMix64: fast, seedable, not for secrets.
+/// SplitMix64 generator; fast, not cryptographically secure.
 class Random
 {
 public:
--- a/include/marjoramtally/base/result.hpp
+++ b/include/marjoramtally/base/result.hpp
@@ -1,4 +1,4 @@
-/// Results that are a value or an error, by Boost.Outcome.
+/// Result types that hold a value or an error, based on Boost.Outcome.
 #pragma once
 
 #include "marjoramtally/base/findings.hpp"
@@ -7,7 +7,7 @@
 
 namespace marjoramtally {
 
-/// What kind of failure an error is; drives retries and status codes.
+/// Category of an error; determines retries and status codes.
 enum class ErrorKind
 {
   BadInput,
@@ -19,7 +19,7 @@
   Internal,
 };
 
-/// A typed error with a message for people.
+/// An error with a human-readable message.
 struct Error
 {
   ErrorKind kind_ = ErrorKind::Internal;
@@ -31,12 +31,12 @@
 using Result = boost::outcome_v2::
   basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-/// A value or all `Findings` about the input it was to be made from.
+/// A value, or all `Findings` about the invalid input.
 template<typename T>
 using Checked = boost::outcome_v2::
   basic_result<T, Findings, boost::outcome_v2::policy::terminate>;
 
-/// @returns the customary lower-case name of a kind, for logs and bodies
+/// @returns the lower-case name of a kind, as used in logs and response bodies
 [[nodiscard]] std::string_view
 ToString(ErrorKind aKind) noexcept;
 
--- a/include/marjoramtally/base/strong.hpp
+++ b/include/marjoramtally/base/strong.hpp
@@ -1,4 +1,4 @@
-/// Strong types: values that share a representation but not a meaning.
+/// Strong typedefs: distinct types with the same underlying representation.
 #pragma once
 
 #include <compare>
@@ -9,10 +9,10 @@
 
 namespace marjoramtally {
 
-/// A value of type `T` that converts to no other strong type.
+/// A value of type `T` that does not convert to other strong types.
 ///
-/// @tparam T the representation
-/// @tparam Tag an incomplete type naming the meaning
+/// @tparam T underlying type
+/// @tparam Tag incomplete type that makes the strong type unique
 /// @example `TrainerId trainer{ "letters" };`
 template<typename T, typename Tag>
 class Strong
@@ -24,7 +24,7 @@
   {
   }
 
-  /// @returns the representation
+  /// @returns the underlying value
   [[nodiscard]] constexpr const T& Get() const noexcept { return value_; }
 
   constexpr auto operator<=>(const Strong&) const = default;
@@ -35,7 +35,7 @@
 
 } // namespace marjoramtally
 
-/// Strong types hash as their representation.
+/// Hashes the underlying value.
 template<typename T, typename Tag>
 struct std::hash<marjoramtally::Strong<T, Tag>>
 {
--- a/include/marjoramtally/base/units.hpp
+++ b/include/marjoramtally/base/units.hpp
@@ -1,4 +1,4 @@
-/// Units in text: durations and whole numbers with bounds.
+/// Parsing and formatting of durations and bounded integers.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,16 +10,17 @@
 namespace marjoramtally {
 
 /// Parses a duration such as `250ms`, `3s`, `16min`.
-/// @returns nothing if the text is no duration or overflows
+/// @returns nothing if the text is not a duration or overflows
 [[nodiscard]] std::optional<Duration>
 ParseDuration(std::string_view aText) noexcept;
 
-/// @returns the duration in the largest unit that is exact
+/// @returns the duration in the largest unit that represents it exactly
 [[nodiscard]] std::string
 FormatDuration(Duration aDuration);
 
-/// Parses a whole number.
-/// @returns nothing unless all of the text is a number within the bounds
+/// Parses an unsigned integer.
+/// @returns nothing unless the entire text is a number within the inclusive
+/// bounds
 [[nodiscard]] std::optional<std::uint64_t>
 ParseNumber(std::string_view aText,
             std::uint64_t aMin,
--- a/include/marjoramtally/connection.hpp
+++ b/include/marjoramtally/connection.hpp
@@ -1,4 +1,4 @@
-/// Public header of the connection library: what goes over connections.
+/// Public header of the connection library: messages between processes.
 #pragma once
 
 #include "marjoramtally/connection/config_messages.hpp"
--- a/include/marjoramtally/connection/config_messages.hpp
+++ b/include/marjoramtally/connection/config_messages.hpp
@@ -1,4 +1,4 @@
-/// Messages of the configuration topic between instances.
+/// Messages that distribute the accepted configuration between instances.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -8,31 +8,31 @@
 
 namespace marjoramtally {
 
-/// Tells a revision, or asks for one.
+/// Announces a revision, or requests a newer one.
 struct ConfigRequest
 {
   /// Revision in force at the sender.
   ConfigRevision revision_;
-  /// The sender's RPC address.
+  /// RPC address of the sender.
   std::string sender_;
-  /// Asks for the manifest and the contents not known.
+  /// Requests the manifest and all contents that are not in `known_`.
   bool fetch_ = false;
-  /// Hashes of the contents that the sender has.
+  /// Hashes of the contents that the sender already has.
   std::vector<std::string> known_;
 };
 
-/// One content and its hash.
+/// Content of one configuration file and its hash.
 struct ConfigBlob
 {
   std::string hash_;
   std::string text_;
 };
 
-/// The receiver's revision; the rest if it was asked for.
+/// Revision in force at the receiver, plus manifest and contents if requested.
 struct ConfigReply
 {
   ConfigRevision revision_;
-  /// The manifest as it stands in the store.
+  /// The manifest in its stored format.
   std::string manifest_;
   std::vector<ConfigBlob> blobs_;
 };
--- a/include/marjoramtally/connection/gossip_messages.hpp
+++ b/include/marjoramtally/connection/gossip_messages.hpp
@@ -11,11 +11,11 @@
 
 namespace marjoramtally {
 
-/// Start of a member's process, in milliseconds of wall time. A restart under
-/// the same name has a higher one.
+/// Start time of a member process, in milliseconds of wall time. A restart
+/// under the same name has a higher value.
 using Incarnation = Strong<std::uint64_t, struct IncarnationTag>;
 
-/// What is believed of a member. Numbers are fixed on the wire.
+/// State of a member as seen by others. Numbers are fixed on the wire.
 enum class MemberState : std::uint8_t
 {
   Alive = 0,
@@ -23,16 +23,16 @@
   Dead = 2,
 };
 
-/// One member as it is gossiped. An update about a known incarnation may
-/// leave out role, zone and addresses.
+/// One member as sent in gossip messages. An update for a known incarnation may
+/// omit role, zone and addresses.
 struct Member
 {
   InstanceId id_;
   Incarnation incarnation_;
-  /// Raised by the member itself, to refute a suspicion.
+  /// Incremented by the member itself to refute a suspicion.
   std::uint32_t refutation_ = 0;
   MemberState state_ = MemberState::Alive;
-  /// Set for good for this incarnation.
+  /// The member is leaving; never reset within one incarnation.
   bool leaving_ = false;
   /// `entry` or `control`.
   std::string role_;
@@ -42,48 +42,50 @@
   bool operator==(const Member&) const = default;
 };
 
-/// What an item is about. Numbers are fixed on the wire; 0 is reserved.
+/// Subject of an item. Numbers are fixed on the wire; 0 is reserved.
 enum class GossipItemKind : std::uint16_t
 {
   /// Load of one instance.
   Load = 1,
   /// A fingerprint under quarantine.
   Quarantine = 2,
-  /// Newest revision seen under a prefix of the store.
+  /// Newest revision seen under a key prefix of the store.
   StoreRevision = 3,
-  /// A zone was in contact with ours; the version counts.
+  /// A message from another zone was received; the key names that zone and the
+  /// version is incremented for each recorded contact.
   ZoneContact = 4,
 };
 
-/// A small typed value that is spread between members; the newest version of
-/// (kind, key) wins.
+/// A small typed value that members gossip. The newest version of (kind, key)
+/// replaces older ones.
 struct GossipItem
 {
   GossipItemKind kind_ = GossipItemKind::Load;
   std::string key_;
   std::uint64_t version_ = 0;
-  /// Since its origin made it.
+  /// Time since the originating member created the item.
   Duration age_{ 0 };
-  /// Forgotten at this age.
+  /// The item is removed at this age.
   Duration ttl_ = std::chrono::seconds(30);
-  /// Does not leave its zone.
+  /// The item is only sent within the zone.
   bool zoneOnly_ = false;
   std::string payload_;
   bool operator==(const GossipItem&) const = default;
 };
 
-/// What a message asks or answers. Numbers are fixed on the wire.
+/// Kind of a request or reply. Numbers are fixed on the wire.
 enum class GossipKind : std::uint8_t
 {
   Probe = 0,
-  /// Probe `target_` for the sender.
+  /// Asks the receiver to probe `target_` for the sender.
   IndirectProbe = 1,
-  /// Ask for the members of zones whose hashes differ.
+  /// Requests the members of zones whose hashes differ.
   Sync = 2,
   Ack = 3,
   /// The target of an indirect probe did not answer.
   Nack = 4,
-  /// One page of members; `cursor_` is where to go on, empty at the end.
+  /// One page of members; `cursor_` is the start of the next page, empty on the
+  /// last one.
   SyncPage = 5,
 };
 
@@ -105,7 +107,7 @@
   ConfigRevision revision_;
   /// Hash over all members known to the sender.
   std::uint64_t tableHash_ = 0;
-  /// RPC address, for an indirect probe.
+  /// RPC address of the member to probe indirectly.
   std::string target_;
   std::string cursor_;
   std::vector<ZoneHash> zoneHashes_;
@@ -114,7 +116,7 @@
   bool operator==(const GossipMessage&) const = default;
 };
 
-/// Largest key and payload of an item; larger ones are refused.
+/// Largest key and payload of an item, in bytes; larger ones are rejected.
 inline constexpr std::size_t kMaxItemKeyBytes = 64;
 inline constexpr std::size_t kMaxItemPayloadBytes = 128;
 
@@ -123,7 +125,7 @@
 [[nodiscard]] Result<GossipMessage>
 DecodeGossipMessage(std::string_view aBytes);
 
-/// @returns an upper bound of what the value adds to an encoded message
+/// @returns upper bound of the bytes that the value adds to an encoded message
 [[nodiscard]] std::size_t
 WireBytes(const Member& aMember) noexcept;
 [[nodiscard]] std::size_t
--- a/include/marjoramtally/connection/job_messages.hpp
+++ b/include/marjoramtally/connection/job_messages.hpp
@@ -1,5 +1,5 @@
-/// Messages between a job's owner and the processes that callers ask about it
-/// or hand it to.
+/// Messages between the owner of a job and other processes that serve requests
+/// for the job or hand it over.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -12,12 +12,12 @@
 
 namespace marjoramtally {
 
-/// Asks for a job's results from a position on.
+/// Requests the results of a job from a position on.
 struct JobResultsRequest
 {
   std::string job_;
   std::uint64_t after_ = 0;
-  /// How long the owner may hold the question until there is such a result.
+  /// Maximum time that the owner waits for such a result (long polling).
   Duration wait_{ 0 };
 };
 
@@ -26,13 +26,13 @@
 [[nodiscard]] Result<JobResultsRequest>
 DecodeJobResultsRequest(std::string_view aBytes);
 
-/// @param aResults a record of results as the store keeps it
+/// @param aResults record of results in its stored format
 [[nodiscard]] std::string
 EncodeJobResultsReply(std::string_view aResults);
 [[nodiscard]] Result<std::string>
 DecodeJobResultsReply(std::string_view aBytes);
 
-/// Asks for the body of a job's item.
+/// Requests the body of an item of a job.
 struct JobBodyRequest
 {
   std::string job_;
@@ -44,17 +44,17 @@
 [[nodiscard]] Result<JobBodyRequest>
 DecodeJobBodyRequest(std::string_view aBytes);
 
-/// @param aBody nothing: the job has no such item
+/// @param aBody empty if the job has no such item
 [[nodiscard]] std::string
 EncodeJobBodyReply(const std::optional<std::string>& aBody);
 [[nodiscard]] Result<std::optional<std::string>>
 DecodeJobBodyReply(std::string_view aBytes);
 
-/// A submission that the asked process is to accept and own.
+/// Asks the receiver to accept a submission and to own the job.
 struct JobHandover
 {
   std::string job_;
-  /// In the form in which the store keeps it.
+  /// The submission in its stored format.
   std::string submission_;
 };
 
@@ -63,7 +63,7 @@
 [[nodiscard]] Result<JobHandover>
 DecodeJobHandover(std::string_view aBytes);
 
-/// @param aEnd the number of an `AcceptOutcome`
+/// @param aEnd numeric value of an `AcceptOutcome`
 [[nodiscard]] std::string
 EncodeJobHandoverReply(std::uint8_t aEnd);
 [[nodiscard]] Result<std::uint8_t>
--- a/include/marjoramtally/connection/suspicion_messages.hpp
+++ b/include/marjoramtally/connection/suspicion_messages.hpp
@@ -1,5 +1,5 @@
-/// Messages between entries about requests that crash upstreams. Clocks of
-/// instances differ, so they carry ages and times left.
+/// Messages between entries about requests that crash upstreams. The clocks of
+/// instances differ, so messages carry ages and remaining times.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,30 +10,30 @@
 
 namespace marjoramtally {
 
-/// One crash held against a request.
+/// One upstream crash attributed to a request.
 struct CrashReport
 {
   UpstreamId upstream_;
   Duration age_{ 0 };
-  /// How long the request had run there.
+  /// How long the request had been running on the upstream.
   Duration ran_{ 0 };
 };
 
-/// What is known against one fingerprint.
+/// Crashes and quarantine of one request fingerprint.
 struct SuspicionUpdate
 {
   Fingerprint fingerprint_;
-  /// A completion cleared it; then `crashes_` is empty.
+  /// A completed request cleared the suspicion; then `crashes_` is empty.
   bool cleared_ = false;
   std::vector<CrashReport> crashes_;
-  /// Quarantine time left; 0 is none.
+  /// Remaining quarantine time; 0 if not in quarantine.
   Duration refusedFor_{ 0 };
 };
 
 [[nodiscard]] std::string
 Encode(const std::vector<SuspicionUpdate>& aUpdates);
 
-/// @returns `BadInput` if the bytes are no message
+/// @returns `BadInput` if the bytes are not a valid message
 [[nodiscard]] Result<std::vector<SuspicionUpdate>>
 DecodeSuspicionUpdates(std::string_view aBytes);
 
--- a/include/marjoramtally/connection/trainer_messages.hpp
+++ b/include/marjoramtally/connection/trainer_messages.hpp
@@ -1,4 +1,4 @@
-/// Messages about trainers and generations between entry and control.
+/// Messages between entry and control about trainers and generations.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -9,20 +9,20 @@
 
 namespace marjoramtally {
 
-/// Opens a step; opening the same step again changes nothing.
+/// Opens a step; idempotent.
 struct OpenStep
 {
   StepSpec spec_;
 };
 
-/// Takes samples, waiting up to `wait_` for the first.
+/// Takes samples; waits up to `wait_` for the first one.
 struct TakeSamples
 {
   TakeSpec spec_;
   Duration wait_{ 0 };
 };
 
-/// Says that new weights are in the weight store.
+/// Announces that new weights are available in the weight store.
 struct AnnounceVersion
 {
   WeightVersion version_;
@@ -34,7 +34,7 @@
   StepId step_;
 };
 
-/// Asks how far the open steps are.
+/// Requests the progress of the open steps.
 struct GetProgress
 {};
 
@@ -48,22 +48,23 @@
   TrainerOperation operation_;
 };
 
-/// The answer to an operation.
+/// Reply to a `TrainerRequest`.
 struct TrainerReply
 {
   FencingNumber term_;
-  /// Number of the take that this answers.
+  /// Number of the take request that this is the reply to.
   std::uint64_t number_ = 0;
   TakeResult taken_;
-  /// Newest version announced.
+  /// Newest announced weight version.
   WeightVersion announced_;
-  /// Steps open at the owner.
+  /// Progress of the steps that are open at the owner.
   std::vector<StepProgress> progress_;
-  /// RPC address of the owner if it is another; then nothing else is set.
+  /// RPC address of the owner if another process owns the trainer; then all
+  /// other fields are unset.
   std::string redirect_;
 };
 
-/// Asks an entry for one generation.
+/// Requests one generation from an entry.
 struct GenerateRequest
 {
   TrainerId trainer_;
@@ -93,7 +94,7 @@
 [[nodiscard]] std::string
 Encode(const GenerateReply& aMessage);
 
-/// Decoders return `BadInput` for anything that is no such message.
+/// Decoders return `BadInput` if the bytes are not a message of that type.
 [[nodiscard]] Result<TrainerRequest>
 DecodeTrainerRequest(std::string_view aBytes);
 [[nodiscard]] Result<TrainerReply>
--- a/include/marjoramtally/marjoramtally.hpp
+++ b/include/marjoramtally/marjoramtally.hpp
@@ -1,5 +1,5 @@
-/// Umbrella header of the decision libraries. None of them opens a socket,
-/// starts a thread or reads a clock; include `runtime.hpp` for that.
+/// Umbrella header of the decision libraries, which do not open sockets, start
+/// threads or read clocks. Include `runtime.hpp` for code that does.
 #pragma once
 
 #include "marjoramtally/base.hpp"
--- a/include/marjoramtally/request.hpp
+++ b/include/marjoramtally/request.hpp
@@ -1,4 +1,4 @@
-/// Public header of the request library: what lives for one request.
+/// Public header of the request library: state and types of single requests.
 #pragma once
 
 #include "marjoramtally/request/attempts.hpp"
--- a/include/marjoramtally/request/attempts.hpp
+++ b/include/marjoramtally/request/attempts.hpp
@@ -1,4 +1,4 @@
-/// Decides after each attempt whether a request is sent again.
+/// Retry policy: decides after each attempt whether a request is sent again.
 #pragma once
 
 #include "marjoramtally/request/outcome.hpp"
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// What to do next with a request.
+/// Next action for a request after an attempt.
 enum class NextStep : std::uint8_t
 {
   /// Send it to another upstream.
@@ -16,22 +16,22 @@
   FinishUnknown,
 };
 
-/// Attempts of one request.
+/// Counts the attempts of one request and decides on retries.
 class Attempts
 {
 public:
-  /// @param aMaxAttempts attempts that may be made in all
+  /// @param aMaxAttempts maximum number of attempts, including the first
   explicit Attempts(std::uint32_t aMaxAttempts) noexcept
     : maxAttempts_(aMaxAttempts)
   {
   }
 
   /// Records the end of an attempt.
-  /// @returns what follows from it
+  /// @returns whether to retry, or how the request ends
   [[nodiscard]] NextStep RecordEnd(const RequestSpec& aRequest,
                                    AttemptEnd aEnd,
                                    TimePoint aNow) noexcept;
-  /// @returns what is true when no further attempt is made
+  /// @returns how the request ends if no further attempt is made
   [[nodiscard]] NextStep FinalStep() const noexcept;
   [[nodiscard]] std::uint32_t Made() const noexcept { return made_; }
 
--- a/include/marjoramtally/request/completion_stream.hpp
+++ b/include/marjoramtally/request/completion_stream.hpp
@@ -1,9 +1,9 @@
-/// One streamed completion over all its attempts: what its caller holds,
-/// what of a new attempt is new to the caller, and whether it is whole.
+/// A streamed completion across retries: tracks what was sent to the caller and
+/// removes what a retry repeats.
 ///
-/// A later attempt either resumes after the tokens that the caller holds,
-/// or starts anew; then its text must repeat what the caller holds, byte by
-/// byte, so that both together are one whole answer of that attempt.
+/// A retry either resumes after the tokens already sent, or starts from the
+/// beginning. In the latter case its text must repeat the sent text byte by
+/// byte, so that the caller receives one complete, consistent answer.
 #pragma once
 
 #include "marjoramtally/request/event_stream.hpp"
@@ -12,34 +12,34 @@
 
 namespace marjoramtally {
 
-/// A streamed completion of one caller.
+/// State of one streamed completion.
 class CompletionStream
 {
 public:
-  /// Starts an attempt.
+  /// Resets the state of the previous attempt; sent tokens and text are kept.
   void StartAttempt();
-  /// Takes bytes of the attempt's body.
-  /// @returns events to pass to the caller, also those before a fault; the
+  /// Processes the next bytes of the response body of the attempt.
+  /// @returns events to send to the caller, including those before a fault; the
   /// fault if there are none
   [[nodiscard]] Result<std::string> Feed(std::string_view aBytes);
-  /// @returns why the attempt is to be given up, if it is
+  /// @returns the error that ends the attempt, if any
   [[nodiscard]] const std::optional<Error>& Fault() const noexcept
   {
     return fault_;
   }
-  /// @returns whether the attempt gave the whole answer: a finish reason and
-  /// the final event
+  /// @returns whether the answer is complete: the attempt delivered a finish
+  /// reason and the final event
   [[nodiscard]] bool IsComplete() const noexcept { return done_; }
-  /// @returns whether what an attempt gave contradicts what the caller
-  /// holds, so that no further attempt can help
+  /// @returns whether an attempt differed from what was already sent to the
+  /// caller, so that further attempts are useless
   [[nodiscard]] bool Contradicted() const noexcept { return contradicted_; }
-  /// @returns tokens that the caller holds
+  /// @returns number of tokens sent to the caller
   [[nodiscard]] std::uint32_t Tokens() const noexcept { return tokens_; }
-  /// @returns text that the caller holds
+  /// @returns text sent to the caller
   [[nodiscard]] const std::string& Text() const noexcept { return text_; }
 
 private:
-  /// One event of a completion, read.
+  /// Parsed event of a completion stream.
   struct Chunk
   {
     std::uint32_t offset_ = 0;
@@ -53,7 +53,8 @@
   [[nodiscard]] Result<std::string> ProcessChunk(const std::string& aData,
                                                  const Chunk& aChunk);
   [[nodiscard]] Result<Chunk> ParseChunk(const std::string& aData) const;
-  /// @returns what of a piece the caller does not hold
+  /// Appends the text of a chunk that was not sent yet.
+  /// @returns the appended text
   [[nodiscard]] Result<std::string> AppendNewText(const Chunk& aChunk);
   void AddSpan(const Chunk& aChunk);
   [[nodiscard]] std::string Rewrite(const std::string& aData,
@@ -64,7 +65,8 @@
   std::string text_;
   std::uint32_t tokens_ = 0;
   std::vector<VersionSpan> spans_;
-  /// Of the present attempt: next token, and bytes of text up to it.
+  /// Position of the current attempt: next token, and its byte offset in the
+  /// text.
   std::uint32_t nextToken_ = 0;
   std::size_t textOffset_ = 0;
   bool started_ = false;
--- a/include/marjoramtally/request/event_relay.hpp
+++ b/include/marjoramtally/request/event_relay.hpp
@@ -1,52 +1,52 @@
-/// One event stream over all attempts that make it: whole events go to the
-/// caller byte by byte as the upstream wrote them, each once and in order.
+/// Relays an event stream across retries. Complete events are passed to the
+/// caller unchanged, each once and in order.
 #pragma once
 
 #include "marjoramtally/request/event_stream.hpp"
 
 namespace marjoramtally {
 
-/// What a caller holds of its stream and what of an attempt is new to it.
-/// Events are numbered without gaps; the first may bear any number unless
-/// the caller already holds some.
+/// State of one relayed event stream. Event ids are consecutive numbers. The
+/// first id may be any number, unless the caller already received events.
 class EventRelay
 {
 public:
   EventRelay() = default;
-  /// @param aHeld number of the last event that the caller brought along
+  /// @param aHeld id of the last event that the caller received earlier
   explicit EventRelay(std::uint64_t aHeld) noexcept
     : last_(aHeld)
   {
   }
 
-  /// Starts an attempt; an unfinished event of the one before is dropped.
+  /// Starts an attempt; drops an incomplete event of the previous attempt.
   void StartAttempt() noexcept;
-  /// Takes the next bytes of the attempt. After a fault they are dropped.
-  /// @returns the whole events that they complete, unchanged
+  /// Processes the next bytes of the attempt; drops them after a fault.
+  /// @returns the events that these bytes complete, unchanged
   [[nodiscard]] std::string Feed(std::string_view aBytes);
-  /// @returns why the attempt is to be given up: an event is too long or not
-  /// the next one; empty while it is sound
+  /// @returns the error that ends the attempt: an event is too long or out of
+  /// sequence; empty if there is none
   [[nodiscard]] const std::string& Fault() const noexcept { return fault_; }
-  /// @returns number of the last event held, if any
+  /// @returns id of the last event passed to the caller, if any
   [[nodiscard]] std::optional<std::uint64_t> Last() const noexcept
   {
     return last_;
   }
-  /// @returns whether another attempt can go on where this one stopped: every
-  /// event passed on bears its number
+  /// @returns whether a retry can resume after the last event: every event so
+  /// far had a numeric id
   [[nodiscard]] bool CanResume() const noexcept { return allNumbered_; }
-  /// @returns whether bytes of an unfinished event are held
+  /// @returns whether an incomplete event is buffered
   [[nodiscard]] bool Partial() const noexcept { return !event_.empty(); }
 
 private:
   [[nodiscard]] bool EventEnds() noexcept;
-  /// Counts the event, or finds the fault.
+  /// Checks the id of a complete event; sets the fault if it is out of
+  /// sequence.
   void CheckEvent();
 
   std::optional<std::uint64_t> last_;
   bool allNumbered_ = true;
   std::string fault_;
-  /// Bytes of the event in progress, and where its present line begins.
+  /// Bytes of the incomplete event, and the offset of its current line.
   std::string event_;
   std::size_t lineStart_ = 0;
 };
--- a/include/marjoramtally/request/event_stream.hpp
+++ b/include/marjoramtally/request/event_stream.hpp
@@ -1,4 +1,4 @@
-/// Server-sent events: bytes in, whole events out.
+/// Incremental parser for server-sent events.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -11,22 +11,22 @@
 
 namespace marjoramtally {
 
-/// One event with what stands beside its data.
+/// One event with its data, id and label.
 struct ServerEvent
 {
   /// The `id` field, if it is a number.
   std::optional<std::uint64_t> id_;
   std::string data_;
-  /// The number in the parser's label field, if the event has it.
+  /// Number in the label field of the parser, if the event has one.
   std::optional<std::uint64_t> label_;
 };
 
-/// Parses one event stream piece by piece. Only `data`, `id` and one field
-/// with a number, the label, are kept.
+/// Parses one event stream incrementally. Only `data`, `id` and one numeric
+/// field, the label, are kept.
 class EventStreamParser
 {
 public:
-  /// Longest event accepted, in bytes.
+  /// Maximum size of an event, in bytes.
   static constexpr std::size_t kMaxEventBytes = 1U << 20U;
 
   EventStreamParser() = default;
@@ -36,14 +36,14 @@
   {
   }
 
-  /// Takes the next bytes.
-  /// @returns the data of the events that they complete; `BadInput` if an
-  /// event is too long
+  /// Parses the next bytes.
+  /// @returns the data of the events that these bytes complete; `BadInput` if
+  /// an event is too long
   [[nodiscard]] Result<std::vector<std::string>> Feed(std::string_view aBytes);
-  /// As `Feed`, with ids and labels.
+  /// Same as `Feed`, with ids and labels.
   [[nodiscard]] Result<std::vector<ServerEvent>> FeedEvents(
     std::string_view aBytes);
-  /// @returns whether bytes of an unfinished event are held
+  /// @returns whether an incomplete event is buffered
   [[nodiscard]] bool Partial() const noexcept
   {
     return !line_.empty() || hasData_;
@@ -59,7 +59,7 @@
   bool hasData_ = false;
 };
 
-/// @returns one event with that data
+/// @returns a server-sent event with this data
 [[nodiscard]] std::string
 FormatEvent(std::string_view aData);
 
--- a/include/marjoramtally/request/fingerprint.hpp
+++ b/include/marjoramtally/request/fingerprint.hpp
@@ -1,4 +1,4 @@
-/// Fingerprints of requests: equal for a request and its resends.
+/// Fingerprints of requests; a request and its resends have the same one.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
@@ -8,10 +8,10 @@
 
 namespace marjoramtally {
 
-/// Hash of what makes an upstream do the same work again.
+/// Hash of the parts of a request that determine the work of an upstream.
 using Fingerprint = Strong<std::uint64_t, struct FingerprintTag>;
 
-/// Hashes parts with their bounds, so that ("ab", "c") and ("a", "bc")
+/// Hashes parts including their boundaries, so that ("ab", "c") and ("a", "bc")
 /// differ.
 /// @example `MakeFingerprint({ method, path, body })`
 [[nodiscard]] Fingerprint
--- a/include/marjoramtally/request/outcome.hpp
+++ b/include/marjoramtally/request/outcome.hpp
@@ -1,4 +1,4 @@
-/// The three outcomes of a request, and how one attempt can end.
+/// Outcomes of requests and of single attempts.
 #pragma once
 
 #include <cstdint>
@@ -6,33 +6,33 @@
 
 namespace marjoramtally {
 
-/// What is true of a request once it is answered.
+/// Outcome of an answered request.
 enum class Outcome : std::uint8_t
 {
-  /// The caller holds the whole answer.
+  /// The caller received the complete answer.
   Completed,
-  /// No byte of it reached an upstream, or an upstream proved not to have
-  /// run it.
+  /// No byte of the request reached an upstream, or the upstream confirmed that
+  /// it did not run the request.
   RefusedNotRun,
-  /// It may have run.
+  /// The request may have run.
   Unknown,
 };
 
-/// How one attempt at an upstream ended.
+/// Outcome of one attempt at an upstream.
 enum class AttemptEnd : std::uint8_t
 {
-  /// The answer is whole by its protocol's own proof.
+  /// The answer is complete according to its protocol.
   Complete,
-  /// Proven not to have run.
+  /// The request is known not to have run.
   NotRun,
-  /// Bytes were sent and no whole answer came.
+  /// Bytes were sent, but no complete answer was received.
   MaybeRun,
 };
 
-/// Header that tells a caller the outcome.
+/// Response header with the outcome.
 inline constexpr std::string_view kOutcomeHeader = "X-Outcome";
 
-/// @returns the header's value: `completed`, `refused-not-run`, `unknown`
+/// @returns the header value: `completed`, `refused-not-run` or `unknown`
 [[nodiscard]] std::string_view
 ToString(Outcome aOutcome) noexcept;
 
--- a/include/marjoramtally/request/request.hpp
+++ b/include/marjoramtally/request/request.hpp
@@ -1,4 +1,4 @@
-/// What the system knows of one request.
+/// Classes and attributes of requests.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -9,7 +9,7 @@
 
 namespace marjoramtally {
 
-/// Who waits for the answer; earlier classes go first.
+/// Priority class of a request; earlier classes have priority.
 enum class RequestClass : std::uint8_t
 {
   Live,
@@ -17,8 +17,8 @@
   Background,
 };
 
-/// Header with the time left for a request, as `250ms`; each hop passes on
-/// what is left there.
+/// Header with the remaining time of a request, such as `250ms`; each hop
+/// forwards the time that remains.
 inline constexpr std::string_view kDeadlineHeader = "X-Deadline";
 
 /// Number of request classes.
@@ -28,11 +28,11 @@
 [[nodiscard]] std::string_view
 ToString(RequestClass aClass) noexcept;
 
-/// @returns the class of that name, if there is one
+/// @returns the class with this name, if it exists
 [[nodiscard]] std::optional<RequestClass>
 ParseRequestClass(std::string_view aText) noexcept;
 
-/// A request as routing, limits and retries see it.
+/// Attributes of a request used by routing, limits and retries.
 struct RequestSpec
 {
   RequestId id_;
@@ -43,16 +43,17 @@
   TimePoint arrived_;
   TimePoint deadline_ = kNever;
   bool idempotent_ = true;
-  /// Names a non-idempotent request over its caller's resends.
+  /// Identifies a non-idempotent request across resends by its caller.
   IdempotencyKey key_;
-  /// Model to be sampled; empty for plain services.
+  /// Model to sample; empty for plain services.
   std::string model_;
   /// Oldest weight version that may be sampled.
   WeightVersion minVersion_;
-  /// Expected cost: prompt tokens and tokens to generate.
+  /// Expected cost: prompt tokens and generated tokens.
   std::uint64_t promptTokens_ = 0;
   std::uint64_t outputTokens_ = 0;
-  /// Hash of the prompt's head, for cached prefixes; 0 is none.
+  /// Hash of the start of the prompt, for routing to cached prefixes; 0 if
+  /// unset.
   std::uint64_t prefixHash_ = 0;
   /// Hash of method, path and body, for quarantine.
   std::uint64_t fingerprint_ = 0;
--- a/src/base/ini.cpp
+++ b/src/base/ini.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// The library's own line buffer size; longer lines would be cut.
+/// Longer lines are rejected, because the line buffer of the INI library would
+/// truncate them.
 constexpr std::size_t kMaxLineBytes = 190;
 
-/// State shared by the library's reader and handler callbacks.
+/// State shared by the reader and handler callbacks of the INI library.
 struct ParseState
 {
   std::string name_;
@@ -21,7 +22,7 @@
   Findings findings_;
 };
 
-/// Hands the library one line at a time, counting lines for places.
+/// Reader callback: returns the next line and tracks the line number.
 char*
 ReadLine(char* aBuffer, int aSize, void* aStream)
 {
@@ -40,7 +41,7 @@
     line = std::string_view{};
   }
   if (line.find('\0') != std::string_view::npos) {
-    state.findings_.Add(place, "line holds a NUL byte");
+    state.findings_.Add(place, "line contains a NUL byte");
     line = std::string_view{};
   }
   const auto room = static_cast<std::size_t>(aSize) - 1;
@@ -64,7 +65,7 @@
   if (!added) {
     state.findings_.Add(value.place_,
                         "key '" + std::string(aName) +
-                          "' stands already on line " +
+                          "' is already set on line " +
                           std::to_string(it->second.place_.line_));
   }
   return 1;
--- a/src/base/units.cpp
+++ b/src/base/units.cpp
@@ -15,7 +15,7 @@
   std::int64_t micros_;
 };
 
-/// From the largest to the smallest, as `FormatDuration` tries them.
+/// Ordered from largest to smallest; `FormatDuration` uses the first exact one.
 constexpr std::array<DurationUnit, 5> kDurationUnits{ {
   { "h", 3'600'000'000 },
   { "min", 60'000'000 },
--- a/src/connection/config.capnp
+++ b/src/connection/config.capnp
@@ -1,5 +1,5 @@
 @0xc4d2a9f1b3e60718;
-# Accepted configuration between instances.
+# Distribution of the accepted configuration between instances.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("marjoramtally::wire");
@@ -8,11 +8,12 @@
   revision @0 :UInt64;
   # Revision in force at the sender.
   sender @1 :Text;
-  # The sender's RPC address; a receiver that lags fetches from there.
+  # RPC address of the sender. A receiver with an older revision fetches the
+  # configuration from it.
   fetch @2 :Bool;
-  # Asks for the manifest and the contents that the sender lacks.
+  # Requests the manifest and all contents that are not listed in `known`.
   known @3 :List(Text);
-  # Hashes of the contents that the sender has.
+  # Hashes of the contents that the sender already has.
 }
 
 struct ConfigBlob {
--- a/src/connection/gossip_messages.cpp
+++ b/src/connection/gossip_messages.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// Largest message of this protocol, in words of eight bytes.
+/// Read limit of one gossip message, in words of eight bytes.
 constexpr std::uint64_t kMaxGossipWords = 64U * 1024U;
 constexpr std::size_t kWordBytes = 8;
-/// A packed word costs at most its bytes and two more.
+/// Upper bound of a packed word: Cap'n Proto packing adds at most two bytes.
 constexpr std::size_t kPackedWordBytes = kWordBytes + 2;
-/// Words of an element without its texts.
+/// Words of one list element, excluding its texts.
 constexpr std::size_t kMemberWords = 2 + 5;
 constexpr std::size_t kItemWords = 3 + 2;
 
@@ -124,7 +124,8 @@
   return item;
 }
 
-/// Converts a list until an element is refused.
+/// Converts a list; stops at the first invalid element.
+/// @returns whether all elements are valid; otherwise `aError` is set
 template<typename List, typename T, typename Function>
 bool
 ReadList(const List& aIn,
--- a/src/connection/jobs.capnp
+++ b/src/connection/jobs.capnp
@@ -1,14 +1,14 @@
 @0xa3f7c1e95b2d8064;
-# What processes ask of a job's owner.
+# Requests from other processes to the owner of a job.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("marjoramtally::wire");
 
 struct JobAsk {
   job @0 :Text;
-  # Position from which results are wanted.
+  # Results from this position on are requested.
   after @1 :UInt64;
-  # How long the owner may hold the question until there is such a result.
+  # Maximum time that the owner waits for such a result (long polling).
   waitMs @2 :UInt32;
 }
 
@@ -23,19 +23,19 @@
   body @1 :Data;
 }
 
-# A submission that the asked process is to accept and own.
+# Asks the receiver to accept a submission and to own the job.
 struct JobHandOn {
   job @0 :Text;
-  # The submission in the form in which the store keeps it.
+  # The submission in its stored format.
   submission @1 :Data;
 }
 
 struct JobHandOnAnswer {
-  # AcceptOutcome.
+  # Value of the enum `AcceptOutcome`.
   end @0 :UInt8;
 }
 
 struct JobAnswer {
-  # Results in the form in which the store keeps them.
+  # The results in their stored format.
   results @0 :Data;
 }
--- a/src/connection/suspicion.capnp
+++ b/src/connection/suspicion.capnp
@@ -1,5 +1,5 @@
 @0xc9b1f06f2d5a4e37;
-# What entries tell each other of requests that crash upstreams.
+# Exchanged between entries: requests that are suspected of crashing upstreams.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("marjoramtally::wire");
@@ -12,7 +12,7 @@
   fingerprint @0 :UInt64;
   cleared @1 :Bool;
   crashes @2 :List(CrashReport);
-  # Quarantine time left; 0 is none.
+  # Remaining quarantine time; 0 if the request is not in quarantine.
   refusedForMs @3 :UInt64;
 }
 
--- a/src/connection/suspicion_messages.cpp
+++ b/src/connection/suspicion_messages.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Longer times on the wire are cut to this; it keeps sums from overflow.
+/// 30 days. Longer times from the wire are clamped, so that sums do not
+/// overflow.
 constexpr std::uint64_t kMaxMillis = 1000ULL * 60 * 60 * 24 * 30;
 
 std::uint64_t
--- a/src/connection/usage.capnp
+++ b/src/connection/usage.capnp
@@ -1,14 +1,14 @@
 @0xc6d18e0b7a5f2943;
-# What the holder of the duty of reports asks gateways.
+# Usage queries from the holder of the reporting duty to gateways.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("marjoramtally::wire");
 
 struct UsageAsk {
-  # True time of the question, in microseconds since the Unix epoch.
+  # True time of the request, in microseconds since the Unix epoch.
   trueMicros @0 :Int64;
   windowMicros @1 :Int64;
-  # Gateways that the asked one is to ask as well.
+  # Addresses of gateways that the receiver queries as well.
   others @2 :List(Text);
 }
 
@@ -18,7 +18,7 @@
 
 struct GatewayUsage {
   incarnation @0 :Text;
-  # How far its time of day is ahead of the true time of the question.
+  # How far the wall clock of the gateway is ahead of the true time.
   aheadMicros @1 :Int64;
   windows @2 :List(WindowUsage);
   demand @3 :List(Demand);
@@ -26,13 +26,13 @@
   models @5 :List(ModelDemand);
 }
 
-# Places that items of a model want.
+# Upstream slots needed by the items of a model.
 struct ModelDemand {
   model @0 :Text;
   places @1 :UInt64;
 }
 
-# Long runs of items in progress at an upstream.
+# Number of long item runs in progress at an upstream.
 struct UpstreamRuns {
   upstream @0 :Text;
   runs @1 :UInt32;
--- a/src/connection/wire.hpp
+++ b/src/connection/wire.hpp
@@ -12,10 +12,9 @@
 
 namespace marjoramtally::impl {
 
-/// Largest message read, in words of eight bytes.
+/// Read limit of one message, in words of eight bytes.
 inline constexpr std::uint64_t kMaxMessageWords = 8U * 1024U * 1024U;
 
-/// @returns the message as bytes
 inline std::string
 Flatten(capnp::MessageBuilder& aBuilder)
 {
@@ -24,7 +23,8 @@
   return { reinterpret_cast<const char*>(bytes.begin()), bytes.size() };
 }
 
-/// Reads a message; whatever the library rejects becomes `BadInput`.
+/// Decodes a message and converts it with `aConvert`.
+/// @returns the converted value, or `BadInput` if Cap'n Proto rejects the bytes
 template<typename Root, typename T, typename Function>
 Result<T>
 ReadMessage(std::string_view aBytes, Function aConvert)
--- a/src/request/completion_stream.cpp
+++ b/src/request/completion_stream.cpp
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-/// Data of the final event.
+/// Data of the event that ends a stream.
 constexpr std::string_view kDone = "[DONE]";
 
 Error
@@ -51,7 +51,8 @@
     }
     out += passed.value();
   }
-  // The caller is owed what came before the fault: it counts as held.
+  // Events before the fault are still sent to the caller, since they are
+  // already counted as sent.
   if (fault_ && out.empty()) {
     return *fault_;
   }
@@ -62,15 +63,16 @@
 CompletionStream::ProcessEvent(const std::string& aData)
 {
   if (done_) {
-    return InvalidStream("an event after the final one");
+    return InvalidStream("stream event received after the final event");
   }
   if (aData == kDone) {
     if (!finished_) {
-      return InvalidStream("the final event came without a finish reason");
+      return InvalidStream("stream ended without a finish reason");
     }
     if (nextToken_ < tokens_ || textOffset_ < text_.size()) {
       contradicted_ = true;
-      return InvalidStream("a new attempt ended before what the caller holds");
+      return InvalidStream(
+        "retry ended before the text already sent to the caller");
     }
     done_ = true;
     return FormatEvent(kDone);
@@ -98,7 +100,7 @@
       WeightVersion{ event.value("weight_version", std::uint64_t{ 0 }) };
     return chunk;
   } catch (const Json::exception&) {
-    return InvalidStream("an event of the stream is no completion");
+    return InvalidStream("stream event is not a completion");
   }
 }
 
@@ -107,14 +109,16 @@
 {
   if (!started_) {
     started_ = true;
-    // An attempt starts anew or right after what the caller holds.
+    // An attempt starts either from the beginning or right after the tokens
+    // that were already sent.
     if (aChunk.offset_ == tokens_) {
       nextToken_ = tokens_;
       textOffset_ = text_.size();
     }
   }
   if (finished_ || aChunk.offset_ != nextToken_) {
-    return InvalidStream("the stream has a gap");
+    return InvalidStream(
+      "stream event out of order or after the finish reason");
   }
   const std::uint32_t held = tokens_;
   const auto text = AppendNewText(aChunk);
@@ -138,7 +142,8 @@
     text_.size() - std::min(textOffset_, text_.size()), aChunk.text_.size());
   if (text_.compare(textOffset_, known, aChunk.text_, 0, known) != 0) {
     contradicted_ = true;
-    return InvalidStream("a new attempt gave a different text");
+    return InvalidStream(
+      "retry differs from the text already sent to the caller");
   }
   std::string fresh = aChunk.text_.substr(known);
   textOffset_ += aChunk.text_.size();
--- a/src/request/event_relay.cpp
+++ b/src/request/event_relay.cpp
@@ -35,7 +35,7 @@
   return passed;
 }
 
-/// An empty line ends an event.
+/// Checks the line just read; an empty line ends an event.
 bool
 EventRelay::EventEnds() noexcept
 {
@@ -49,7 +49,7 @@
 {
   EventStreamParser parser;
   const auto events = parser.FeedEvents(event_);
-  // Comments keep a connection alive and are no events.
+  // Comments are sent to keep a connection alive and do not count as events.
   if (!events || events.value().empty()) {
     return;
   }
--- a/src/request/event_stream.cpp
+++ b/src/request/event_stream.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kDataField = "data";
 constexpr std::string_view kIdField = "id";
 
-/// One line of an event: a field's name and its value.
+/// Name and value of a field, from one line of an event.
 struct FieldLine
 {
   std::string_view name_;
--- a/tests/test_base.cpp
+++ b/tests/test_base.cpp
@@ -17,7 +17,7 @@
   CHECK(FormatDuration(std::chrono::milliseconds(1500)) == "1500ms");
 }
 
-TEST_CASE("index sets keep their text form")
+TEST_CASE("index sets are parsed and formatted as ranges")
 {
   const auto set = IndexSet::Parse("0-3,8,10-11");
   REQUIRE(set.has_value());
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("ini findings name their lines and come together")
+TEST_CASE("all INI findings are reported together with their lines")
 {
   const auto parsed = ParseIni("a.ini", "[s]\nk=1\nk=2\n[t]\nj=1\nj=1\n");
   REQUIRE_FALSE(parsed);
@@ -39,14 +39,14 @@
   CHECK(text.find("a.ini:6: ") != std::string::npos);
 }
 
-TEST_CASE("a line that is no ini is a finding")
+TEST_CASE("an invalid INI line is a finding")
 {
   const auto parsed = ParseIni("b.ini", "[s]\nnonsense\n");
   REQUIRE_FALSE(parsed);
   CHECK(parsed.error().Render().find("b.ini:2: ") != std::string::npos);
 }
 
-TEST_CASE("the manual clock moves only when told to")
+TEST_CASE("the manual clock advances only explicitly")
 {
   ManualClock clock;
   const TimePoint start = clock.Now();
--- a/tests/test_request.cpp
+++ b/tests/test_request.cpp
@@ -6,7 +6,7 @@
 
 using namespace marjoramtally;
 
-TEST_CASE("a non-idempotent request is not sent again once it may have run")
+TEST_CASE("a non-idempotent request is not retried once it may have run")
 {
   RequestSpec spec;
   spec.idempotent_ = false;
@@ -16,7 +16,7 @@
         NextStep::FinishUnknown);
 }
 
-TEST_CASE("refused means that no attempt may have run")
+TEST_CASE("a request is refused only if no attempt may have run")
 {
   RequestSpec spec;
   Attempts attempts(2);
@@ -25,7 +25,7 @@
         NextStep::FinishUnknown);
 }
 
-TEST_CASE("labels must cover all tokens without gap")
+TEST_CASE("version spans must cover all tokens without gaps")
 {
   const WeightVersion one{ 1 };
   const WeightVersion two{ 2 };
@@ -35,7 +35,7 @@
   CHECK(OldestVersion({ { two, 0, 4 }, { one, 4, 9 } }) == one);
 }
 
-TEST_CASE("trainer messages survive the wire and bad bytes do not")
+TEST_CASE("trainer messages are decoded and invalid bytes are rejected")
 {
   TrainerRequest request;
   request.trainer_ = TrainerId{ "t" };
--- a/tests/test_streams.cpp
+++ b/tests/test_streams.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// One event of a stand-in engine, one token each.
+/// Event of a stand-in engine with one token.
 std::string
 Token(std::uint32_t aOffset, const std::string& aText, int aVersion = 1)
 {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("events are whole however their bytes are cut")
+TEST_CASE("events are parsed wherever their bytes are split")
 {
   const std::string bytes = ": comment\r\ndata: a\r\ndata: b\r\n\r\ndata:c\n\n";
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
@@ -44,14 +44,14 @@
     parser.Feed(std::string(EventStreamParser::kMaxEventBytes + 1, 'x')));
 }
 
-TEST_CASE("a stream is whole only with finish reason and final event")
+TEST_CASE("a stream is complete only with finish reason and final event")
 {
   CompletionStream stream;
   stream.StartAttempt();
   const std::string first = Token(0, "ab");
   CHECK(stream.Feed(first).value() == first);
   CHECK_FALSE(stream.IsComplete());
-  SECTION("whole")
+  SECTION("complete")
   {
     CHECK(stream.Feed(Last(1) + kDone));
     CHECK(stream.IsComplete());
@@ -65,36 +65,36 @@
   {
     CHECK_FALSE(stream.Feed(Token(2, "c")));
   }
-  SECTION("no completion")
+  SECTION("not a completion")
   {
     CHECK_FALSE(stream.Feed(FormatEvent("[]")));
   }
 }
 
-TEST_CASE("a stream that broke is resumed, or repeated without doubling")
+TEST_CASE("a broken stream is resumed or repeated without duplicate text")
 {
   CompletionStream stream;
   stream.StartAttempt();
   REQUIRE(stream.Feed(Token(0, "ab") + Token(1, "cd") + "data: {\"cho"));
   CHECK(stream.Tokens() == 2);
   stream.StartAttempt();
-  SECTION("an engine that resumes")
+  SECTION("the retry resumes")
   {
     REQUIRE(stream.Feed(Token(2, "ef", 2)));
     const auto last = stream.Feed(Last(3) + kDone);
     REQUIRE(last);
     CHECK(stream.IsComplete());
     CHECK(stream.Text() == "abcdef");
-    // The labels name the versions of both attempts.
+    // The spans contain the weight versions of both attempts.
     CHECK(last.value().find(R"({"from":0,"to":2,"version":1})") !=
           std::string::npos);
     CHECK(last.value().find(R"({"from":2,"to":3,"version":2})") !=
           std::string::npos);
   }
-  SECTION("an engine that starts anew and says the same")
+  SECTION("the retry starts over with the same text")
   {
     CHECK(stream.Feed(Token(0, "ab")).value().empty());
-    // Its tokens may be cut elsewhere.
+    // Token boundaries may differ from the first attempt.
     const auto passed = stream.Feed(Token(1, "c") + Token(2, "def"));
     REQUIRE(passed);
     CHECK(passed.value().find(R"("text":"ef")") != std::string::npos);
@@ -102,13 +102,13 @@
     CHECK(stream.IsComplete());
     CHECK(stream.Text() == "abcdef");
   }
-  SECTION("an engine that says something else")
+  SECTION("the retry differs")
   {
     CHECK_FALSE(stream.Feed(Token(0, "ax")));
     CHECK(stream.Contradicted());
     CHECK_FALSE(stream.IsComplete());
   }
-  SECTION("an engine that says less")
+  SECTION("the retry is shorter")
   {
     REQUIRE(stream.Feed(Token(0, "ab") + Last(1)));
     CHECK_FALSE(stream.Feed(kDone));
@@ -116,7 +116,7 @@
   }
 }
 
-TEST_CASE("what came before a broken event is passed on, not skipped")
+TEST_CASE("events before a malformed event are sent to the caller")
 {
   CompletionStream stream;
   stream.StartAttempt();
