--- a/src/request/completion_stream.cpp
+++ b/src/request/completion_stream.cpp
@@ -120,7 +120,7 @@
     return InvalidStream(
       "stream event out of order or after the finish reason");
   }
-  const std::uint32_t held = tokens_;
+  const std::uint32_t sentTokens = tokens_;
   const auto text = AppendNewText(aChunk);
   if (!text) {
     return text.error();
@@ -129,7 +129,7 @@
   tokens_ = std::max(tokens_, nextToken_);
   finished_ = aChunk.finished_;
   AddSpan(aChunk);
-  if (nextToken_ <= held && !finished_) {
+  if (nextToken_ <= sentTokens && !finished_) {
     return std::string();
   }
   return FormatEvent(Rewrite(aData, aChunk, text.value()));
--- a/tests/test_streams.cpp
+++ b/tests/test_streams.cpp
@@ -120,15 +120,16 @@
 {
   CompletionStream stream;
   stream.StartAttempt();
-  std::string held =
+  std::string received =
     stream.Feed(Token(0, "a") + FormatEvent("garbled")).value();
-  CHECK(held == Token(0, "a"));
+  CHECK(received == Token(0, "a"));
   CHECK(stream.Fault());
   CHECK_FALSE(stream.Feed(Token(1, "b")));
   stream.StartAttempt();
   CHECK_FALSE(stream.Fault());
-  held += stream.Feed(Token(stream.Tokens(), "b") + Last(2) + kDone).value();
-  CHECK(held.starts_with(Token(0, "a") + Token(1, "b")));
-  CHECK(held.ends_with(kDone));
+  received +=
+    stream.Feed(Token(stream.Tokens(), "b") + Last(2) + kDone).value();
+  CHECK(received.starts_with(Token(0, "a") + Token(1, "b")));
+  CHECK(received.ends_with(kDone));
   CHECK(stream.IsComplete());
 }
