--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -20,7 +20,7 @@
 }
 
 void
-TakeRoles(const Json& aBody, ClusterView& aView)
+ReadRoles(const Json& aBody, ClusterView& aView)
 {
   for (const auto& [engine, role] : aBody.items()) {
     if (role.is_string()) {
@@ -31,7 +31,7 @@
 
 /// @returns the text of a field, empty if it is missing; nothing if it is none
 std::optional<std::string>
-TextOf(const Json& aBody, const char* aField)
+ReadText(const Json& aBody, const char* aField)
 {
   const auto field = aBody.find(aField);
   if (field == aBody.end()) {
@@ -42,9 +42,9 @@
 }
 
 bool
-TakeInstance(const Json& aBody, std::vector<std::string>& aSeeds)
+ReadInstance(const Json& aBody, std::vector<std::string>& aSeeds)
 {
-  auto rpc = TextOf(aBody, "rpc");
+  auto rpc = ReadText(aBody, "rpc");
   if (rpc && !rpc->empty()) {
     aSeeds.push_back(std::move(*rpc));
   }
@@ -52,7 +52,7 @@
 }
 
 bool
-TakeVersion(const std::string& aModel, const Json& aBody, ClusterView& aView)
+ReadVersion(const std::string& aModel, const Json& aBody, ClusterView& aView)
 {
   const auto version = aBody.find("version");
   if (version == aBody.end() || !version->is_number_unsigned()) {
@@ -63,7 +63,7 @@
 }
 
 bool
-TakeOwner(const StoreRecord& aRecord, ClusterView& aView)
+ReadOwner(const StoreRecord& aRecord, ClusterView& aView)
 {
   auto owner = ReadDutyOwner(aRecord);
   if (owner) {
@@ -76,7 +76,7 @@
 /// Sorts one record of the store into the view.
 /// @returns whether it could be read
 bool
-TakeRecord(const StoreRecord& aRecord,
+ReadRecord(const StoreRecord& aRecord,
            ClusterView& aView,
            std::vector<std::string>& aSeeds)
 {
@@ -86,16 +86,16 @@
   }
   const std::string& key = aRecord.key_;
   if (key.starts_with(kInstancePrefix)) {
-    return TakeInstance(body, aSeeds);
+    return ReadInstance(body, aSeeds);
   }
   if (key.starts_with(kOwnerPrefix)) {
-    return TakeOwner(aRecord, aView);
+    return ReadOwner(aRecord, aView);
   }
   if (key.starts_with(kVersionPrefix)) {
-    return TakeVersion(key.substr(kVersionPrefix.size()), body, aView);
+    return ReadVersion(key.substr(kVersionPrefix.size()), body, aView);
   }
   if (key.starts_with(kRolePrefix)) {
-    TakeRoles(body, aView);
+    ReadRoles(body, aView);
   }
   return true;
 }
@@ -111,8 +111,8 @@
   if (!body.is_object()) {
     return std::nullopt;
   }
-  auto owner = TextOf(body, "owner");
-  auto rpc = TextOf(body, "rpc");
+  auto owner = ReadText(body, "owner");
+  auto rpc = ReadText(body, "rpc");
   if (!owner || owner->empty() || !rpc) {
     return std::nullopt;
   }
@@ -147,7 +147,7 @@
   session_.Start(std::string(kInstancePrefix) + self_.id_.Get(),
                  FormatInstance(self_));
   records_.onRecords_ = [this](const LiveRecordMap& aRecords) {
-    TakeRecords(aRecords);
+    ApplyRecords(aRecords);
   };
   records_.Start();
   timers_.Every(settings_.refresh_, [this] { Update({}); });
@@ -180,18 +180,18 @@
 }
 
 void
-Cluster::TakeRecords(const LiveRecordMap& aRecords)
+Cluster::ApplyRecords(const LiveRecordMap& aRecords)
 {
   ClusterView read;
   std::vector<std::string> seeds;
   std::set<std::string> unreadable;
   for (const auto& [key, record] : aRecords) {
-    if (!TakeRecord(record, read, seeds)) {
+    if (!ReadRecord(record, read, seeds)) {
       LogEvent(LogLevel::Warn, "store_record_unreadable", { { "key", key } });
       unreadable.insert(key);
     }
   }
-  KeepRoles(aRecords, unreadable, read);
+  KeepLastReadableRoles(aRecords, unreadable, read);
   if (onSeeds_) {
     onSeeds_(std::move(seeds));
   }
@@ -207,9 +207,9 @@
 
 /// Without roles each engine has its rule's, and would be ordered to it.
 void
-Cluster::KeepRoles(const LiveRecordMap& aRecords,
-                   const std::set<std::string>& aUnreadable,
-                   ClusterView& aView)
+Cluster::KeepLastReadableRoles(const LiveRecordMap& aRecords,
+                               const std::set<std::string>& aUnreadable,
+                               ClusterView& aView)
 {
   const std::lock_guard lock(mutex_);
   LiveRecordMap roles;
@@ -223,7 +223,7 @@
     }
     const auto known = roles_.find(key);
     if (known != roles_.end()) {
-      TakeRoles(Json::parse(known->second.value_), aView);
+      ReadRoles(Json::parse(known->second.value_), aView);
       roles.insert(*known);
     }
   }
--- a/src/daemon/cluster.hpp
+++ b/src/daemon/cluster.hpp
@@ -103,11 +103,11 @@
   [[nodiscard]] LiveRecords& Records() noexcept { return records_; }
 
 private:
-  void TakeRecords(const LiveRecordMap& aRecords);
+  void ApplyRecords(const LiveRecordMap& aRecords);
   /// Takes the last roles that could be read in place of those that cannot.
-  void KeepRoles(const LiveRecordMap& aRecords,
-                 const std::set<std::string>& aUnreadable,
-                 ClusterView& aView);
+  void KeepLastReadableRoles(const LiveRecordMap& aRecords,
+                             const std::set<std::string>& aUnreadable,
+                             ClusterView& aView);
   void Update(const std::function<void(ClusterView&)>& aChange);
 
   const DaemonSettings& settings_;
--- a/src/daemon/config_editor.cpp
+++ b/src/daemon/config_editor.cpp
@@ -10,8 +10,8 @@
 /// Failed store calls in a row after which an edit gives up.
 constexpr int kMaxFailures = 8;
 /// Commits lost to other editors after which an edit gives up.
-constexpr int kMaxLosses = 100;
-constexpr Duration kFirstWait = std::chrono::milliseconds(20);
+constexpr int kMaxLostCommits = 100;
+constexpr Duration kInitialWait = std::chrono::milliseconds(20);
 constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 StoreTxn
@@ -43,7 +43,7 @@
   EditDriver(Store& aStore,
              Timers& aTimers,
              ConfigEdit aEdit,
-             StoreDone<EditEnd> aDone)
+             StoreDone<EditResult> aDone)
     : store_(aStore)
     , timers_(aTimers)
     , session_(std::move(aEdit))
@@ -70,11 +70,11 @@
         ReadRecord();
         break;
       default:
-        done_(EditEnd{ session_.Next(),
-                       session_.Attempted(),
-                       session_.Edit().id_,
-                       session_.Conflicts(),
-                       session_.Problems() });
+        done_(EditResult{ session_.Next(),
+                          session_.Attempted(),
+                          session_.Edit().id_,
+                          session_.Conflicts(),
+                          session_.Problems() });
     }
   }
 
@@ -84,7 +84,7 @@
     ReadStoredManifest(
       store_, [self = shared_from_this()](const Result<StoredManifest>& aRead) {
         if (!aRead) {
-          self->Fail(aRead.error());
+          self->OnStoreFailure(aRead.error());
           return;
         }
         self->failures_ = 0;
@@ -107,7 +107,7 @@
       BlobKey(hash),
       [self = shared_from_this(), hash](const Result<StoreRange>& aRead) {
         if (!aRead) {
-          self->Fail(aRead.error());
+          self->OnStoreFailure(aRead.error());
           return;
         }
         for (const StoreRecord& record : aRead.value().records_) {
@@ -132,20 +132,20 @@
       const bool applied = aCommit.value().applied_;
       session_.OnCommit(applied ? CommitOutcome::Applied
                                 : CommitOutcome::NotApplied);
-      losses_ += applied ? 0 : 1;
-      if (losses_ > kMaxLosses) {
-        GiveUp("others kept editing");
+      lostCommits_ += applied ? 0 : 1;
+      if (lostCommits_ > kMaxLostCommits) {
+        Abandon("others kept editing");
       } else if (applied) {
         Step();
       } else {
-        Later(kFirstWait);
+        StepAfter(kInitialWait);
       }
       return;
     }
     const bool unsent = aCommit.error().kind_ == ErrorKind::Unavailable;
     session_.OnCommit(unsent ? CommitOutcome::NotApplied
                              : CommitOutcome::Unknown);
-    Fail(aCommit.error());
+    OnStoreFailure(aCommit.error());
   }
 
   void ReadRecord()
@@ -154,14 +154,14 @@
     store_.Read(
       key, [self = shared_from_this()](const Result<StoreRange>& aRead) {
         if (!aRead) {
-          self->Fail(aRead.error());
+          self->OnStoreFailure(aRead.error());
           return;
         }
         std::optional<Manifest> record;
         if (!aRead.value().records_.empty()) {
           auto parsed = ParseManifest(aRead.value().records_.front().value_);
           if (!parsed) {
-            self->GiveUp(parsed.error().message_);
+            self->Abandon(parsed.error().message_);
             return;
           }
           record = std::move(parsed).value();
@@ -171,18 +171,18 @@
       });
   }
 
-  void Fail(const Error& aError)
+  void OnStoreFailure(const Error& aError)
   {
     ++failures_;
     if (failures_ >= kMaxFailures) {
-      GiveUp(aError.message_);
+      Abandon(aError.message_);
     } else {
-      Later(std::min<Duration>(kFirstWait * (1 << failures_), kMaxWait));
+      StepAfter(std::min<Duration>(kInitialWait * (1 << failures_), kMaxWait));
     }
   }
 
   /// Takes the next step after a wait with jitter.
-  void Later(Duration aWait)
+  void StepAfter(Duration aWait)
   {
     const auto spread = static_cast<std::uint64_t>(aWait.count());
     const auto extra = static_cast<Duration::rep>(jitter_.Below(spread));
@@ -190,7 +190,7 @@
                   [self = shared_from_this()] { self->Step(); });
   }
 
-  void GiveUp(const std::string& aReason)
+  void Abandon(const std::string& aReason)
   {
     const std::string& id = session_.Edit().id_;
     done_(session_.MayHaveTakenEffect()
@@ -204,10 +204,10 @@
   Store& store_;
   Timers& timers_;
   EditSession session_;
-  StoreDone<EditEnd> done_;
+  StoreDone<EditResult> done_;
   Random jitter_;
   int failures_ = 0;
-  int losses_ = 0;
+  int lostCommits_ = 0;
   std::vector<std::string> missing_;
   std::map<std::string, std::string> found_;
 };
@@ -268,7 +268,7 @@
 SubmitEdit(Store& aStore,
            Timers& aTimers,
            ConfigEdit aEdit,
-           StoreDone<EditEnd> aDone)
+           StoreDone<EditResult> aDone)
 {
   std::make_shared<EditDriver>(
     aStore, aTimers, std::move(aEdit), std::move(aDone))
--- a/src/daemon/config_editor.hpp
+++ b/src/daemon/config_editor.hpp
@@ -17,7 +17,7 @@
 };
 
 /// How an edit ended.
-struct EditEnd
+struct EditResult
 {
   /// One of the final steps.
   EditStep step_ = EditStep::Unsettled;
@@ -60,7 +60,7 @@
 SubmitEdit(Store& aStore,
            Timers& aTimers,
            ConfigEdit aEdit,
-           StoreDone<EditEnd> aDone);
+           StoreDone<EditResult> aDone);
 
 /// Deletes contents that no kept revision uses.
 /// @returns how many
--- a/src/daemon/config_http.cpp
+++ b/src/daemon/config_http.cpp
@@ -13,14 +13,14 @@
 using Json = nlohmann::json;
 
 /// One key of one file to set, as a request asks.
-struct EditOrder
+struct EditRequest
 {
   std::string file_;
   KeyAssignment assignment_;
 };
 
-Result<EditOrder>
-ReadOrder(const std::string& aBody)
+Result<EditRequest>
+ParseEditRequest(const std::string& aBody)
 {
   const Json body = Json::parse(aBody, nullptr, false);
   if (!body.is_object() || !body.value("file", Json()).is_string() ||
@@ -28,72 +28,77 @@
     return Error{ ErrorKind::BadInput,
                   R"(send {"file": "NAME.ini", "set": "SECTION.KEY=VALUE"})" };
   }
-  EditOrder order;
-  order.file_ = body["file"].get<std::string>();
+  EditRequest editRequest;
+  editRequest.file_ = body["file"].get<std::string>();
   auto assignment = ParseAssignment(body["set"].get<std::string>());
   if (!assignment) {
     return assignment.error();
   }
-  const bool plain = order.file_.ends_with(".ini") &&
-                     order.file_.find_first_of("/\\") == std::string::npos;
+  const bool plain =
+    editRequest.file_.ends_with(".ini") &&
+    editRequest.file_.find_first_of("/\\") == std::string::npos;
   if (!plain) {
     return Error{ ErrorKind::BadInput, "'file' must be a name like 50-x.ini" };
   }
-  order.assignment_ = std::move(assignment).value();
-  return order;
+  editRequest.assignment_ = std::move(assignment).value();
+  return editRequest;
 }
 
 ConfigEdit
-MakeOrderedEdit(const ConfigContent& aContent,
-                const EditOrder& aOrder,
-                const OperatorId& aOperator)
+MakeRequestedEdit(const ConfigContent& aContent,
+                  const EditRequest& aEditRequest,
+                  const OperatorId& aOperator)
 {
-  const std::string base = FindHash(aContent.manifest_, aOrder.file_);
+  const std::string base = FindHash(aContent.manifest_, aEditRequest.file_);
   const auto blob = aContent.blobs_.find(base);
   const std::string text =
     blob == aContent.blobs_.end() ? std::string{} : blob->second;
   ConfigEdit edit = MakeEdit(aOperator.Get());
-  AddChange(edit, aOrder.file_, base, AssignKey(text, aOrder.assignment_));
+  AddChange(
+    edit, aEditRequest.file_, base, AssignKey(text, aEditRequest.assignment_));
   return edit;
 }
 
 HttpResponse
-MakeAnswer(const Result<EditEnd>& aEnd)
+MakeResponse(const Result<EditResult>& aResult)
 {
-  if (!aEnd) {
-    const bool unknown = aEnd.error().kind_ == ErrorKind::Timeout;
+  if (!aResult) {
+    const bool unknown = aResult.error().kind_ == ErrorKind::Timeout;
     return ErrorResponse(unknown ? 504 : 503,
                          unknown ? "unknown" : "unavailable",
-                         aEnd.error().message_);
+                         aResult.error().message_);
   }
-  const EditEnd& end = aEnd.value();
-  switch (end.step_) {
+  const EditResult& result = aResult.value();
+  switch (result.step_) {
     case EditStep::Accepted:
     case EditStep::Unchanged:
-      return JsonResponse(200,
-                          Json{ { "revision", end.revision_.Get() },
-                                { "edit", end.id_ },
-                                { "changed", end.step_ == EditStep::Accepted } }
-                            .dump());
+      return JsonResponse(
+        200,
+        Json{ { "revision", result.revision_.Get() },
+              { "edit", result.id_ },
+              { "changed", result.step_ == EditStep::Accepted } }
+          .dump());
     case EditStep::Conflicted:
       return ErrorResponse(
         409, "conflict", "others changed this file meanwhile; look again");
     case EditStep::Rejected:
-      return ErrorResponse(422, "findings", end.problems_.Render());
+      return ErrorResponse(422, "findings", result.problems_.Render());
     default:
-      return ErrorResponse(
-        504, "unknown", "not known whether edit " + end.id_ + " was accepted");
+      return ErrorResponse(504,
+                           "unknown",
+                           "not known whether edit " + result.id_ +
+                             " was accepted");
   }
 }
 
 } // namespace
 
 ConfigHttp::ConfigHttp(ConfigService& aConfig,
-                       Cluster& aMembers,
+                       Cluster& aCluster,
                        Store& aStore,
                        Timers& aTimers)
   : config_(aConfig)
-  , members_(aMembers)
+  , cluster_(aCluster)
   , store_(aStore)
   , timers_(aTimers)
 {
@@ -117,7 +122,7 @@
 ConfigHttp::ServeContent(const HttpRequest& aRequest,
                          const HttpReplyPtr& aReply)
 {
-  const auto rules = members_.View()->rules_;
+  const auto rules = cluster_.View()->rules_;
   const auto allowed = CheckOperatorAccess(*rules, aRequest.headers_);
   if (!allowed) {
     aReply->Send(ErrorResponse(401, "refused", allowed.error().message_));
@@ -132,16 +137,18 @@
 void
 ConfigHttp::ServeEdit(const HttpRequest& aRequest, const HttpReplyPtr& aReply)
 {
-  const auto rules = members_.View()->rules_;
+  const auto rules = cluster_.View()->rules_;
   const auto allowed = CheckOperatorAccess(*rules, aRequest.headers_);
   if (!allowed) {
     aReply->Send(ErrorResponse(401, "refused", allowed.error().message_));
     return;
   }
-  const auto order = ReadOrder(aRequest.body_);
-  if (aRequest.method_ != "POST" || !order) {
-    aReply->Send(ErrorResponse(
-      400, "bad_input", order ? "use POST" : order.error().message_));
+  const auto editRequest = ParseEditRequest(aRequest.body_);
+  if (aRequest.method_ != "POST" || !editRequest) {
+    aReply->Send(
+      ErrorResponse(400,
+                    "bad_input",
+                    editRequest ? "use POST" : editRequest.error().message_));
     return;
   }
   if (config_.Status().storeReverted_) {
@@ -152,8 +159,10 @@
   SubmitEdit(
     store_,
     timers_,
-    MakeOrderedEdit(config_.Content(), order.value(), allowed.value()),
-    [aReply](const Result<EditEnd>& aEnd) { aReply->Send(MakeAnswer(aEnd)); });
+    MakeRequestedEdit(config_.Content(), editRequest.value(), allowed.value()),
+    [aReply](const Result<EditResult>& aResult) {
+      aReply->Send(MakeResponse(aResult));
+    });
 }
 
 } // namespace marjoramtally
--- a/src/daemon/config_http.hpp
+++ b/src/daemon/config_http.hpp
@@ -13,7 +13,7 @@
 public:
   /// All arguments outlive the object.
   ConfigHttp(ConfigService& aConfig,
-             Cluster& aMembers,
+             Cluster& aCluster,
              Store& aStore,
              Timers& aTimers);
 
@@ -25,7 +25,7 @@
   void ServeEdit(const HttpRequest& aRequest, const HttpReplyPtr& aReply);
 
   ConfigService& config_;
-  Cluster& members_;
+  Cluster& cluster_;
   Store& store_;
   Timers& timers_;
 };
--- a/src/daemon/config_peers.cpp
+++ b/src/daemon/config_peers.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr Duration kTellTimeout = std::chrono::seconds(3);
+constexpr Duration kAnnounceTimeout = std::chrono::seconds(3);
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
 RpcCall
@@ -44,7 +44,7 @@
 }
 
 void
-ConfigPeers::Tell()
+ConfigPeers::Announce()
 {
   const ConfigRevision revision = state_.Revision();
   const std::lock_guard lock(mutex_);
@@ -52,23 +52,23 @@
     return;
   }
   for (const std::string& target : targets_) {
-    if (known_[target] < revision && telling_.insert(target).second) {
-      TellOne(target, revision);
+    if (known_[target] < revision && announcing_.insert(target).second) {
+      AnnounceTo(target, revision);
     }
   }
 }
 
 void
-ConfigPeers::TellOne(const std::string& aTarget, ConfigRevision aRevision)
+ConfigPeers::AnnounceTo(const std::string& aTarget, ConfigRevision aRevision)
 {
   metrics_.Count("config_tells_total");
   node_->Call(aTarget,
-              MakeCall({ aRevision, self_, false, {} }, kTellTimeout),
+              MakeCall({ aRevision, self_, false, {} }, kAnnounceTimeout),
               [this, aTarget](const RpcReply& aReply) {
                 const auto reply = aReply ? DecodeConfigReply(aReply.value())
                                           : Result<ConfigReply>(aReply.error());
                 const std::lock_guard held(mutex_);
-                telling_.erase(aTarget);
+                announcing_.erase(aTarget);
                 if (reply) {
                   known_[aTarget] = reply.value().revision_;
                 }
@@ -83,7 +83,8 @@
 }
 
 void
-ConfigPeers::OnHeard(ConfigRevision aRevision, const std::string& aPeer)
+ConfigPeers::OnReceivedRevision(ConfigRevision aRevision,
+                                const std::string& aPeer)
 {
   if (aRevision > state_.Revision() && !aPeer.empty()) {
     Fetch(aPeer);
@@ -91,7 +92,7 @@
 }
 
 void
-ConfigPeers::Ask(const std::string& aPeer)
+ConfigPeers::FetchFrom(const std::string& aPeer)
 {
   Fetch(aPeer);
 }
@@ -128,7 +129,7 @@
   const auto reply = aReply ? DecodeConfigReply(aReply.value())
                             : Result<ConfigReply>(aReply.error());
   if (reply) {
-    Take(reply.value());
+    ApplyReply(reply.value());
   } else {
     LogEvent(LogLevel::Warn,
              "config_fetch_failed",
@@ -138,11 +139,11 @@
     const std::lock_guard lock(mutex_);
     fetching_ = false;
   }
-  AnswerWaiting();
+  AnswerWaitingPeers();
 }
 
 void
-ConfigPeers::Take(const ConfigReply& aReply)
+ConfigPeers::ApplyReply(const ConfigReply& aReply)
 {
   const auto manifest = ParseManifest(aReply.manifest_);
   if (!manifest || state_.Judge(manifest.value(), ManifestSource::Peer) !=
@@ -159,12 +160,12 @@
 }
 
 void
-ConfigPeers::AnswerWaiting()
+ConfigPeers::AnswerWaitingPeers()
 {
   std::vector<RpcDone> waiting;
   {
     const std::lock_guard lock(mutex_);
-    waiting.swap(waiting_);
+    waiting.swap(waitingPeers_);
   }
   const std::string answer = Answer({});
   for (const RpcDone& done : waiting) {
@@ -201,19 +202,19 @@
     aDone(request.error());
     return;
   }
-  const ConfigRequest& told = request.value();
-  if (told.fetch_ || told.revision_ <= state_.Revision()) {
-    aDone(Answer(told));
+  const ConfigRequest& announcement = request.value();
+  if (announcement.fetch_ || announcement.revision_ <= state_.Revision()) {
+    aDone(Answer(announcement));
     return;
   }
   {
     const std::lock_guard lock(mutex_);
-    waiting_.push_back(std::move(aDone));
+    waitingPeers_.push_back(std::move(aDone));
   }
-  OnHeard(told.revision_, told.sender_);
+  OnReceivedRevision(announcement.revision_, announcement.sender_);
   // A fetch that ended in between has answered those before it only.
-  if (told.revision_ <= state_.Revision()) {
-    AnswerWaiting();
+  if (announcement.revision_ <= state_.Revision()) {
+    AnswerWaitingPeers();
   }
 }
 
--- a/src/daemon/config_peers.hpp
+++ b/src/daemon/config_peers.hpp
@@ -22,22 +22,22 @@
   /// Sets whom to tell; those who lag behind are told again and again.
   void SetTargets(const std::vector<std::string>& aTargets);
   /// Tells the targets that are not known to have the revision in force.
-  void Tell();
+  void Announce();
   /// Fetches from a peer that has a higher revision.
-  void OnHeard(ConfigRevision aRevision, const std::string& aPeer);
+  void OnReceivedRevision(ConfigRevision aRevision, const std::string& aPeer);
   /// Fetches from a peer whatever it has.
-  void Ask(const std::string& aPeer);
+  void FetchFrom(const std::string& aPeer);
   /// @returns whether an answer from a peer is awaited
   [[nodiscard]] bool Fetching();
   /// Serves one call of the configuration topic.
   void Serve(const RpcCall& aCall, RpcDone aDone);
 
 private:
-  void TellOne(const std::string& aTarget, ConfigRevision aRevision);
+  void AnnounceTo(const std::string& aTarget, ConfigRevision aRevision);
   void Fetch(const std::string& aPeer);
   void OnFetched(const RpcReply& aReply);
-  void Take(const ConfigReply& aReply);
-  void AnswerWaiting();
+  void ApplyReply(const ConfigReply& aReply);
+  void AnswerWaitingPeers();
   [[nodiscard]] std::string Answer(const ConfigRequest& aRequest) const;
 
   ConfigState& state_;
@@ -48,10 +48,10 @@
   std::vector<std::string> targets_;
   /// Revision that each target is known to have.
   std::map<std::string, ConfigRevision> known_;
-  std::set<std::string> telling_;
+  std::set<std::string> announcing_;
   bool fetching_ = false;
   /// Tellers who wait until a fetch is over.
-  std::vector<RpcDone> waiting_;
+  std::vector<RpcDone> waitingPeers_;
 };
 
 } // namespace marjoramtally
--- a/src/daemon/config_service.cpp
+++ b/src/daemon/config_service.cpp
@@ -11,13 +11,13 @@
 /// without a sign, and a store may come back older.
 constexpr Duration kWatcherReadPeriod = std::chrono::seconds(5);
 /// Others read it this often, should all who tell them be wrong.
-constexpr Duration kRepairReadPeriod = std::chrono::minutes(2);
+constexpr Duration kBackupReadPeriod = std::chrono::minutes(2);
 /// Rounds until the first view of the other instances is there.
-constexpr int kRoundsBeforeAsking = 2;
+constexpr int kTicksBeforePeerFetch = 2;
 /// Rounds that a new instance waits for a peer's answer.
-constexpr int kRoundsForPeer = 3;
+constexpr int kMaxTicksForPeerFetch = 3;
 /// Rounds between reads while nothing is in force.
-constexpr int kRoundsWithoutRules = 5;
+constexpr int kTicksPerReadWithoutRules = 5;
 
 std::string
 FileIn(const std::string& aFolder)
@@ -37,19 +37,19 @@
                              Store& aStore,
                              Timers& aTimers,
                              Metrics& aMetrics,
-                             Cluster& aMembers)
+                             Cluster& aCluster)
   : settings_(aSettings)
   , timers_(aTimers)
-  , members_(aMembers)
+  , cluster_(aCluster)
   , state_(FileIn(aSettings.dataDir_),
            aMetrics,
            [this](std::shared_ptr<const Rules> aRules) {
              const ConfigRevision revision = aRules->revision_;
-             members_.SetRules(std::move(aRules));
+             cluster_.SetRules(std::move(aRules));
              if (onRevision_) {
                onRevision_(revision);
              }
-             peers_.Tell();
+             peers_.Announce();
            })
   , watch_(aStore, state_, aMetrics)
   , peers_(state_, aMetrics)
@@ -60,7 +60,7 @@
 void
 ConfigService::Start(RpcNode& aNode)
 {
-  peers_.Start(aNode, members_.Self().rpc_);
+  peers_.Start(aNode, cluster_.Self().rpc_);
   state_.LoadFile();
   timers_.Every(settings_.refresh_, [this] { Tick(); });
 }
@@ -74,12 +74,12 @@
 FanoutRole
 ConfigService::Role() const
 {
-  const ClusterViewPtr view = members_.View();
+  const ClusterViewPtr view = cluster_.View();
   std::vector<FanoutMember> members;
   for (const auto& [id, record] : view->instances_) {
     members.push_back(ToMember(record));
   }
-  return ChooseFanout(std::move(members), ToMember(members_.Self()));
+  return ChooseFanout(std::move(members), ToMember(cluster_.Self()));
 }
 
 void
@@ -87,34 +87,34 @@
 {
   const FanoutRole role = Role();
   peers_.SetTargets(role.targets_);
-  if (!LookAtPeers()) {
+  if (!QueryPeersFirst()) {
     return;
   }
   watch_.Keep(role.watches_, clock_.Now());
   ReadIfDue(role.watches_);
   if (Revision() == ConfigRevision{ 0 }) {
-    AskNextPeer();
+    FetchFromNextPeer();
   }
-  peers_.Tell();
+  peers_.Announce();
 }
 
 /// A new instance asks a peer before the store: the store may have come
 /// back older, and what peers have in force must not be undercut.
 bool
-ConfigService::LookAtPeers()
+ConfigService::QueryPeersFirst()
 {
-  if (lookedAtPeers_) {
+  if (peersQueried_) {
     return true;
   }
-  if (++rounds_ < kRoundsBeforeAsking) {
+  if (++ticks_ < kTicksBeforePeerFetch) {
     return false;
   }
-  if (rounds_ == kRoundsBeforeAsking) {
-    AskNextPeer();
+  if (ticks_ == kTicksBeforePeerFetch) {
+    FetchFromNextPeer();
   }
-  lookedAtPeers_ =
-    !peers_.Fetching() || rounds_ >= kRoundsBeforeAsking + kRoundsForPeer;
-  return lookedAtPeers_;
+  peersQueried_ = !peers_.Fetching() ||
+                  ticks_ >= kTicksBeforePeerFetch + kMaxTicksForPeerFetch;
+  return peersQueried_;
 }
 
 void
@@ -124,9 +124,9 @@
   if (now < nextRead_) {
     return;
   }
-  Duration period = aWatches ? kWatcherReadPeriod : kRepairReadPeriod;
+  Duration period = aWatches ? kWatcherReadPeriod : kBackupReadPeriod;
   if (Revision() == ConfigRevision{ 0 }) {
-    period = settings_.refresh_ * kRoundsWithoutRules;
+    period = settings_.refresh_ * kTicksPerReadWithoutRules;
   }
   const auto spread = static_cast<std::uint64_t>(period.count());
   nextRead_ = now + period / 2 +
@@ -135,24 +135,24 @@
 }
 
 void
-ConfigService::AskNextPeer()
+ConfigService::FetchFromNextPeer()
 {
-  const ClusterViewPtr view = members_.View();
+  const ClusterViewPtr view = cluster_.View();
   std::vector<std::string> addresses;
   for (const auto& [id, record] : view->instances_) {
-    if (id != members_.Self().id_) {
+    if (id != cluster_.Self().id_) {
       addresses.push_back(record.rpc_);
     }
   }
   if (!addresses.empty()) {
-    peers_.Ask(addresses[nextPeer_++ % addresses.size()]);
+    peers_.FetchFrom(addresses[nextPeer_++ % addresses.size()]);
   }
 }
 
 void
 ConfigService::OnHeard(ConfigRevision aRevision, const std::string& aPeer)
 {
-  peers_.OnHeard(aRevision, aPeer);
+  peers_.OnReceivedRevision(aRevision, aPeer);
 }
 
 ConfigRevision
@@ -172,8 +172,8 @@
 {
   const ConfigStatus status = state_.Status();
   if (status.inForce_.revision_ > ConfigRevision{ 0 }) {
-    return lookedAtPeers_ ? std::string{}
-                          : "asking peers for a higher revision first";
+    return peersQueried_ ? std::string{}
+                         : "asking peers for a higher revision first";
   }
   if (!status.problem_.empty()) {
     return status.problem_;
--- a/src/daemon/config_service.hpp
+++ b/src/daemon/config_service.hpp
@@ -19,7 +19,7 @@
                 Store& aStore,
                 Timers& aTimers,
                 Metrics& aMetrics,
-                Cluster& aMembers);
+                Cluster& aCluster);
 
   /// Told of each revision that comes into force; set before `Start`.
   std::function<void(ConfigRevision)> onRevision_;
@@ -41,21 +41,21 @@
 
 private:
   void Tick();
-  bool LookAtPeers();
+  bool QueryPeersFirst();
   void ReadIfDue(bool aWatches);
-  void AskNextPeer();
+  void FetchFromNextPeer();
   [[nodiscard]] FanoutRole Role() const;
 
   const DaemonSettings& settings_;
   Timers& timers_;
-  Cluster& members_;
+  Cluster& cluster_;
   SystemClock clock_;
   ConfigState state_;
   ConfigWatch watch_;
   ConfigPeers peers_;
-  std::atomic<bool> lookedAtPeers_{ false };
+  std::atomic<bool> peersQueried_{ false };
   /// Used on the timers' thread only.
-  int rounds_ = 0;
+  int ticks_ = 0;
   TimePoint nextRead_;
   std::size_t nextPeer_ = 0;
   Random jitter_;
--- a/src/daemon/config_watch.cpp
+++ b/src/daemon/config_watch.cpp
@@ -80,7 +80,7 @@
   if (records.empty()) {
     (void)state_.Judge(Manifest{}, ManifestSource::Store);
   } else {
-    TakeManifest(records.front().value_);
+    ApplyManifest(records.front().value_);
   }
   if (!aOpenWatch) {
     return;
@@ -102,7 +102,7 @@
     if (event.deleted_) {
       (void)state_.Judge(Manifest{}, ManifestSource::Store);
     } else {
-      TakeManifest(event.record_.value_);
+      ApplyManifest(event.record_.value_);
     }
   }
   const std::lock_guard lock(mutex_);
@@ -113,7 +113,7 @@
 }
 
 void
-ConfigWatch::TakeManifest(const std::string& aText)
+ConfigWatch::ApplyManifest(const std::string& aText)
 {
   const auto manifest = ParseManifest(aText);
   if (!manifest) {
--- a/src/daemon/config_watch.hpp
+++ b/src/daemon/config_watch.hpp
@@ -25,7 +25,7 @@
   void Open();
   void OnRead(const Result<StoreRange>& aRead, bool aOpenWatch);
   void OnBatch(const StoreWatchBatch& aBatch);
-  void TakeManifest(const std::string& aText);
+  void ApplyManifest(const std::string& aText);
   void Fetch(const Manifest& aManifest,
              std::vector<std::string> aMissing,
              std::shared_ptr<Blobs> aBlobs);
--- a/src/daemon/gossip_service.cpp
+++ b/src/daemon/gossip_service.cpp
@@ -15,7 +15,7 @@
 }
 
 /// What listeners are told, gathered under the lock.
-struct News
+struct PendingNotifications
 {
   std::optional<std::vector<Member>> members_;
   std::optional<ConfigRevision> revision_;
@@ -68,7 +68,7 @@
 GossipService::Tick()
 {
   Feed([](Membership& aCore, TimePoint aNow) { return aCore.Tick(aNow); });
-  Count();
+  PublishMetrics();
 }
 
 void
@@ -211,38 +211,38 @@
 void
 GossipService::Notify()
 {
-  News news;
+  PendingNotifications pending;
   {
     const std::lock_guard lock(mutex_);
     const TimePoint now = clock_.Now();
     if (core_->ChangeCount() != notifiedChanges_) {
       notifiedChanges_ = core_->ChangeCount();
-      news.members_ = core_->Usable(now);
+      pending.members_ = core_->Usable(now);
       for (const GossipItem& item :
            core_->Items().OfKind(GossipItemKind::StoreRevision, now)) {
         std::uint64_t& known = notifiedStore_[item.key_];
         if (item.version_ > known) {
           known = item.version_;
-          news.storeRevisions_.push_back(item);
+          pending.storeRevisions_.push_back(item);
         }
       }
     }
     if (core_->HighestRevision() > notifiedRevision_) {
       notifiedRevision_ = core_->HighestRevision();
-      news.revision_ = notifiedRevision_;
+      pending.revision_ = notifiedRevision_;
       const auto* source = core_->Table().Find(core_->RevisionSource());
       if (source != nullptr && core_->RevisionSource() != core_->Self().id_) {
-        news.revisionAddress_ = source->member_.rpc_;
+        pending.revisionAddress_ = source->member_.rpc_;
       }
     }
   }
-  if (news.members_ && onMembers_) {
-    onMembers_(*news.members_);
+  if (pending.members_ && onMembers_) {
+    onMembers_(*pending.members_);
   }
-  if (news.revision_ && onRevision_) {
-    onRevision_(*news.revision_, news.revisionAddress_);
+  if (pending.revision_ && onRevision_) {
+    onRevision_(*pending.revision_, pending.revisionAddress_);
   }
-  for (const GossipItem& item : news.storeRevisions_) {
+  for (const GossipItem& item : pending.storeRevisions_) {
     if (onStoreRevision_) {
       onStoreRevision_(item);
     }
@@ -250,7 +250,7 @@
 }
 
 void
-GossipService::Count()
+GossipService::PublishMetrics()
 {
   const std::lock_guard lock(mutex_);
   const MembershipCounters& counters = core_->Counters();
--- a/src/daemon/gossip_service.hpp
+++ b/src/daemon/gossip_service.hpp
@@ -52,7 +52,7 @@
   void Answer(const GossipReply& aReply);
   /// Tells the listeners what is new since the last time.
   void Notify();
-  void Count();
+  void PublishMetrics();
   template<typename Event>
   void Feed(Event aEvent);
 
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -17,7 +17,7 @@
 constexpr auto kLeaveLimit = std::chrono::seconds(1);
 
 /// Fewer bytes are too easy to guess.
-constexpr std::size_t kMinKeyBytes = 32;
+constexpr std::size_t kMinPeerKeyBytes = 32;
 
 Result<std::vector<std::string>>
 ReadPeerKeys(const std::string& aFile)
@@ -33,7 +33,7 @@
   std::istringstream lines(text.value());
   std::string line;
   while (std::getline(lines, line)) {
-    if (line.size() < kMinKeyBytes) {
+    if (line.size() < kMinPeerKeyBytes) {
       return Error{ ErrorKind::BadInput,
                     aFile + ":" + std::to_string(keys.size() + 1) +
                       ": a key has at least 32 characters" };
@@ -77,12 +77,12 @@
                                             *cluster_))
   , configHttp_(*config_, *cluster_, *store_, timers_)
 {
-  Connect();
+  ConnectListeners();
 }
 
 /// Lets membership and the store's records feed each other.
 void
-Host::Connect()
+Host::ConnectListeners()
 {
   config_->onRevision_ = [this](ConfigRevision aRevision) {
     gossip_->SetRevision(aRevision);
@@ -205,7 +205,7 @@
 }
 
 HttpResponse
-Host::Ready() const
+Host::ReadyResponse() const
 {
   if (draining_) {
     return ErrorResponse(503, "draining", "this instance is shutting down");
@@ -223,7 +223,7 @@
   if (aRequest.path_ == "/healthz") {
     aReply->Send(JsonResponse(200, R"({"alive":true})"));
   } else if (aRequest.path_ == "/readyz") {
-    aReply->Send(Ready());
+    aReply->Send(ReadyResponse());
   } else if (aRequest.path_ == "/status.json") {
     aReply->Send(JsonResponse(200, RenderStatusJson(Status())));
   } else if (aRequest.path_ == "/status") {
--- a/src/daemon/host.hpp
+++ b/src/daemon/host.hpp
@@ -32,8 +32,8 @@
   [[nodiscard]] HttpClient& Http() { return *client_; }
   [[nodiscard]] RpcNode& Rpc() { return *rpc_; }
   [[nodiscard]] Store& PlatformStore() { return *store_; }
-  [[nodiscard]] Timers& Clockwork() { return timers_; }
-  [[nodiscard]] Cluster& Members() { return *cluster_; }
+  [[nodiscard]] Timers& TimerQueue() { return timers_; }
+  [[nodiscard]] Cluster& ClusterState() { return *cluster_; }
   [[nodiscard]] ConfigService& Config() { return *config_; }
   [[nodiscard]] GossipService& Gossip() { return *gossip_; }
   [[nodiscard]] Metrics& Measures() { return metrics_; }
@@ -43,8 +43,8 @@
 private:
   void Handle(HttpRequest aRequest, const HttpReplyPtr& aReply);
   void Serve(RpcCall aCall, RpcDone aDone);
-  [[nodiscard]] HttpResponse Ready() const;
-  void Connect();
+  [[nodiscard]] HttpResponse ReadyResponse() const;
+  void ConnectListeners();
   void StartGossip(const InstanceRecord& aSelf);
   [[nodiscard]] InstanceStatus Status() const;
 
--- a/src/daemon/instance_list.cpp
+++ b/src/daemon/instance_list.cpp
@@ -11,7 +11,7 @@
 constexpr auto kReadPeriod = std::chrono::seconds(5);
 
 void
-TakeEntry(const Json& aEntry, std::vector<PlatformInstance>& aList)
+AppendEntry(const Json& aEntry, std::vector<PlatformInstance>& aList)
 {
   PlatformInstance instance;
   instance.id_ = InstanceId{ aEntry.value("id", "") };
@@ -36,7 +36,7 @@
   std::vector<PlatformInstance> list;
   try {
     for (const Json& entry : body.at("instances")) {
-      TakeEntry(entry, list);
+      AppendEntry(entry, list);
     }
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
@@ -78,11 +78,11 @@
   call.timeout_ = settings_.storeTimeout_;
   call.connectTimeout_ = settings_.storeTimeout_;
   client_.Send(std::move(call), [this](const HttpResult& aResult) {
-    const bool whole =
+    const bool complete =
       aResult.end_ == HttpEnd::Whole && aResult.response_.status_ == 200;
-    const auto list = whole ? ParseInstanceList(aResult.response_.body_)
-                            : Result<std::vector<PlatformInstance>>(Error{
-                                ErrorKind::Unavailable, aResult.message_ });
+    const auto list = complete ? ParseInstanceList(aResult.response_.body_)
+                               : Result<std::vector<PlatformInstance>>(Error{
+                                   ErrorKind::Unavailable, aResult.message_ });
     if (!list) {
       LogEvent(LogLevel::Warn,
                "instance_list_failed",
--- a/src/programs/controld/allocation_service.cpp
+++ b/src/programs/controld/allocation_service.cpp
@@ -58,13 +58,13 @@
 void
 AllocationService::Start()
 {
-  host_.Clockwork().Every(kPeriod, [this] { Tick(); });
+  host_.TimerQueue().Every(kPeriod, [this] { Tick(); });
 }
 
 void
 AllocationService::Tick()
 {
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   for (const auto& [id, rule] : view->rules_->services_) {
     if (!rule.allocate_) {
       continue;
--- a/src/programs/controld/candidate_source.cpp
+++ b/src/programs/controld/candidate_source.cpp
@@ -68,7 +68,7 @@
 {
   std::vector<std::string> near;
   std::vector<std::string> far;
-  for (const auto& [id, instance] : host_.Members().View()->instances_) {
+  for (const auto& [id, instance] : host_.ClusterState().View()->instances_) {
     if (instance.role_ == "entry") {
       const bool same = instance.zone_.Get() == host_.Settings().zone_;
       (same ? near : far).push_back(instance.rpc_);
@@ -86,7 +86,7 @@
 {
   const auto entry = ChooseEntry();
   if (!entry) {
-    host_.Clockwork().After(Duration::zero(), [done = aEvents.done_] {
+    host_.TimerQueue().After(Duration::zero(), [done = aEvents.done_] {
       done(Error{ ErrorKind::Unavailable, "no entry is known" });
     });
     return;
@@ -166,7 +166,7 @@
            { { "scorer", aScoring->scorer_ },
              { "status", std::to_string(aResult.response_.status_) },
              { "error", aResult.message_ } });
-  host_.Clockwork().After(aScoring->pauses_.Next(), [this, aScoring] {
+  host_.TimerQueue().After(aScoring->pauses_.Next(), [this, aScoring] {
     if (aScoring->events_.stillWanted_(aScoring->sample_)) {
       Score(aScoring);
     } else {
--- a/src/programs/controld/order_sender.cpp
+++ b/src/programs/controld/order_sender.cpp
@@ -121,7 +121,7 @@
 std::string
 OrderSender::AddressOf(const UpstreamId& aUpstream)
 {
-  const auto rules = host_.Members().View()->rules_;
+  const auto rules = host_.ClusterState().View()->rules_;
   const auto found = rules->upstreams_.find(aUpstream);
   return found == rules->upstreams_.end() ? std::string{}
                                           : found->second.address_;
--- a/src/programs/controld/order_service.cpp
+++ b/src/programs/controld/order_service.cpp
@@ -54,18 +54,18 @@
 void
 OrderService::Start()
 {
-  host_.Clockwork().Every(kTick, [this] { Tick(); });
+  host_.TimerQueue().Every(kTick, [this] { Tick(); });
 }
 
 void
 OrderService::Tick()
 {
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   RolloutActions actions;
   {
     const std::lock_guard lock(mutex_);
     const TimePoint now = host_.Now();
-    rollout_.OnLease(host_.Members().LeaseUntil());
+    rollout_.OnLease(host_.ClusterState().LeaseUntil());
     if (now >= nextSurvey_) {
       nextSurvey_ = now + kSurveyPeriod;
       Survey(*view);
@@ -80,7 +80,7 @@
 void
 OrderService::Survey(const ClusterView& aView)
 {
-  const StoreLeaseId lease = host_.Members().Lease();
+  const StoreLeaseId lease = host_.ClusterState().Lease();
   // Without a lease we stay owners by the numbers that we have shown; what
   // needs the lease is bounded by its end.
   if (lease != 0 && lease != lease_) {
@@ -135,7 +135,7 @@
 void
 OrderService::SetPolicy(const ClusterView& aView)
 {
-  const InstanceId& self = host_.Members().Self().id_;
+  const InstanceId& self = host_.ClusterState().Self().id_;
   std::uint64_t owned = 0;
   std::uint64_t total = 0;
   for (const auto& [duty, owner] : aView.owners_) {
@@ -161,7 +161,7 @@
 void
 OrderService::SetGoals(const ClusterView& aView, const ServiceMap& aServices)
 {
-  const InstanceId& self = host_.Members().Self().id_;
+  const InstanceId& self = host_.ClusterState().Self().id_;
   for (const auto& [id, service] : aServices) {
     const auto place = std::distance(service.present_.begin(),
                                      service.present_.lower_bound(self));
@@ -190,7 +190,7 @@
                     const ServiceOwners& aService,
                     const UpstreamRule& aRule)
 {
-  const InstanceId& self = host_.Members().Self().id_;
+  const InstanceId& self = host_.ClusterState().Self().id_;
   const OwnerRecord* owner = OwnerOf(aView, aRule.id_);
   const bool preferred = PreferredFor(aView, aService, aRule) == self;
   if (owner != nullptr && owner->owner_ != self) {
--- a/src/programs/controld/owners.cpp
+++ b/src/programs/controld/owners.cpp
@@ -8,8 +8,8 @@
 Owners::Acquire(const std::string& aDuty,
                 std::function<void(Result<Ownership>)> aDone)
 {
-  const InstanceId self = host_.Members().Self().id_;
-  const auto view = host_.Members().View();
+  const InstanceId self = host_.ClusterState().Self().id_;
+  const auto view = host_.ClusterState().View();
   const auto owner = view->owners_.find(aDuty);
   std::optional<Ownership> known;
   {
@@ -37,7 +37,7 @@
 std::optional<FencingNumber>
 Owners::KeptTerm(const std::string& aDuty)
 {
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   const std::lock_guard lock(mutex_);
   const auto mine = mine_.find(aDuty);
   if (view->owners_.contains(aDuty) || mine == mine_.end()) {
@@ -82,17 +82,17 @@
     if (renewed) {
       LogEvent(LogLevel::Warn, "owner_record_renewed", { { "duty", aDuty } });
     }
-    host_.Members().Refresh();
+    host_.ClusterState().Refresh();
   });
 }
 
 bool
 Owners::Lost(const std::string& aDuty)
 {
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   const auto owner = view->owners_.find(aDuty);
   const bool lost = owner != view->owners_.end() &&
-                    owner->second.owner_ != host_.Members().Self().id_;
+                    owner->second.owner_ != host_.ClusterState().Self().id_;
   if (lost) {
     const std::lock_guard lock(mutex_);
     mine_.erase(aDuty);
@@ -104,12 +104,12 @@
 Owners::Create(const std::string& aDuty,
                std::function<void(Result<Ownership>)> aDone)
 {
-  const StoreLeaseId lease = host_.Members().Lease();
+  const StoreLeaseId lease = host_.ClusterState().Lease();
   if (lease == 0) {
     aDone(Error{ ErrorKind::Unavailable, "no lease at the store" });
     return;
   }
-  const InstanceRecord& self = host_.Members().Self();
+  const InstanceRecord& self = host_.ClusterState().Self();
   const nlohmann::json value{ { "owner", self.id_.Get() },
                               { "rpc", self.rpc_ } };
   const std::string key = std::string(kOwnerPrefix) + aDuty;
@@ -155,7 +155,7 @@
           return;
         }
         Ownership ownership;
-        ownership.mine_ = owner->owner_ == host_.Members().Self().id_;
+        ownership.mine_ = owner->owner_ == host_.ClusterState().Self().id_;
         ownership.owner_ = owner->rpc_;
         ownership.term_ = owner->term_;
         if (ownership.mine_) {
--- a/src/programs/controld/trainer_operations.cpp
+++ b/src/programs/controld/trainer_operations.cpp
@@ -69,7 +69,7 @@
                         FencingNumber aTerm,
                         RpcDone aDone)
 {
-  const auto rules = host_.Members().View()->rules_;
+  const auto rules = host_.ClusterState().View()->rules_;
   const auto rule = rules->trainers_.find(aRequest.trainer_);
   if (!IsLoaded(*rules)) {
     // An entry asks another process then; `NotFound` it would pass on.
@@ -101,7 +101,7 @@
                          RpcDone aDone)
 {
   const TrainerRule rule =
-    host_.Members().View()->rules_->trainers_.at(aRequest.trainer_);
+    host_.ClusterState().View()->rules_->trainers_.at(aRequest.trainer_);
   announcer_.Load(
     rule.model_,
     [this, aRequest, aTrace, aTerm, rule, done = std::move(aDone)](
--- a/src/programs/controld/trainer_service.cpp
+++ b/src/programs/controld/trainer_service.cpp
@@ -21,7 +21,7 @@
 void
 TrainerService::Start()
 {
-  host_.Clockwork().Every(kTick, [this] { Tick(); });
+  host_.TimerQueue().Every(kTick, [this] { Tick(); });
 }
 
 bool
@@ -71,7 +71,7 @@
 TrainerService::Tick()
 {
   DropLost();
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   const std::lock_guard lock(mutex_);
   for (auto& [id, state] : trainers_) {
     const auto newest = view->versions_.find(state.rule_.model_);
@@ -98,7 +98,7 @@
   stored.busy_ = true;
   // The store may answer within the call, and the answer takes the lock that
   // is held here.
-  host_.Clockwork().After(
+  host_.TimerQueue().After(
     Duration::zero(),
     [this, model = aState.rule_.model_, id = aState.rule_.id_, newest] {
       TellStore(model, id, newest);
@@ -248,7 +248,7 @@
   if (state == nullptr) {
     return;
   }
-  host_.Clockwork().After(state->pauses_.Next(), [this, aTrainer, aSample] {
+  host_.TimerQueue().After(state->pauses_.Next(), [this, aTrainer, aSample] {
     const std::lock_guard inner(mutex_);
     if (TrainerState* now = Find(aTrainer)) {
       now->ledger_.OnFailed(aSample);
--- a/src/programs/controld/version_announcer.cpp
+++ b/src/programs/controld/version_announcer.cpp
@@ -146,7 +146,7 @@
                     "the announcement may not be stored; repeat it" });
         return;
       }
-      host_.Members().Refresh();
+      host_.ClusterState().Refresh();
       done(true);
     });
 }
--- a/src/programs/ctl/session.cpp
+++ b/src/programs/ctl/session.cpp
@@ -135,14 +135,14 @@
       return PrintFailure(sound.error());
     }
   }
-  const auto end = Await<EditEnd>([&](auto aDone) {
+  const auto end = Await<EditResult>([&](auto aDone) {
     SubmitEdit(*store_, timers_, std::move(aEdit), std::move(aDone));
   });
   return end ? Report(end.value()) : PrintFailure(end.error());
 }
 
 int
-Session::Report(const EditEnd& aEnd)
+Session::Report(const EditResult& aEnd)
 {
   switch (aEnd.step_) {
     case EditStep::Accepted:
--- a/src/programs/ctl/session.hpp
+++ b/src/programs/ctl/session.hpp
@@ -29,7 +29,7 @@
 
 private:
   [[nodiscard]] Result<bool> CheckStoreNotOlder();
-  int Report(const EditEnd& aEnd);
+  int Report(const EditResult& aEnd);
   int WaitInForce(ConfigRevision aRevision);
 
   const CommandInput& input_;
--- a/src/programs/entryd/claim_gate.cpp
+++ b/src/programs/entryd/claim_gate.cpp
@@ -86,9 +86,9 @@
 void
 ClaimGate::Start()
 {
-  host_.Members().OnRefresh(
+  host_.ClusterState().OnRefresh(
     [this](const ClusterViewPtr& aView) { FitGap(*aView); });
-  host_.Clockwork().Every(kTick, [this] { Tick(); });
+  host_.TimerQueue().Every(kTick, [this] { Tick(); });
 }
 
 void
--- a/src/programs/entryd/crash_guard.cpp
+++ b/src/programs/entryd/crash_guard.cpp
@@ -17,7 +17,7 @@
 void
 CrashGuard::Start()
 {
-  host_.Members().OnRefresh(
+  host_.ClusterState().OnRefresh(
     [this](const ClusterViewPtr& aView) { ShareOut(*aView); });
 }
 
@@ -123,7 +123,7 @@
 CrashGuard::Tell(const std::vector<SuspicionUpdate>& aUpdates)
 {
   const std::string body = Encode(aUpdates);
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   for (const auto& [id, instance] : view->instances_) {
     if (!IsZoneEntry(instance) || id.Get() == host_.Settings().instance_) {
       continue;
--- a/src/programs/entryd/dispatcher.cpp
+++ b/src/programs/entryd/dispatcher.cpp
@@ -26,10 +26,10 @@
 Dispatcher::Start()
 {
   crashes_.Start();
-  host_.Members().OnRefresh(
+  host_.ClusterState().OnRefresh(
     [this](const ClusterViewPtr& aView) { TakeView(aView); });
   reports_.Start();
-  host_.Clockwork().Every(kPumpPeriod, [this] {
+  host_.TimerQueue().Every(kPumpPeriod, [this] {
     Expire();
     Pump();
     HedgeStragglers();
@@ -46,7 +46,7 @@
 bool
 Dispatcher::KnowsService(const ServiceId& aService) const
 {
-  return host_.Members().View()->rules_->services_.contains(aService);
+  return host_.ClusterState().View()->rules_->services_.contains(aService);
 }
 
 void
--- a/src/programs/entryd/entry.cpp
+++ b/src/programs/entryd/entry.cpp
@@ -56,7 +56,7 @@
 void
 Entry::OnHttp(HttpRequest aRequest, const HttpReplyPtr& aReply)
 {
-  if (!IsLoaded(*host_.Members().View()->rules_)) {
+  if (!IsLoaded(*host_.ClusterState().View()->rules_)) {
     // Callers take 404 for final.
     LogEvent(LogLevel::Info,
              "refused",
@@ -77,7 +77,7 @@
 Result<RequestSpec>
 Entry::MakeSpec(const HttpRequest& aRequest, const ServiceId& aService)
 {
-  const auto rules = host_.Members().View()->rules_;
+  const auto rules = host_.ClusterState().View()->rules_;
   const auto service = rules->services_.find(aService);
   if (service == rules->services_.end()) {
     return Error{ ErrorKind::NotFound,
@@ -228,7 +228,7 @@
     aReply->Send(RefuseInput(400, "bad_input", ask.error().message_));
     return;
   }
-  const auto rules = host_.Members().View()->rules_;
+  const auto rules = host_.ClusterState().View()->rules_;
   const auto service = FindModelService(*rules, ask.value().model_);
   if (!service) {
     aReply->Send(RefuseInput(
--- a/src/programs/entryd/report_poller.cpp
+++ b/src/programs/entryd/report_poller.cpp
@@ -40,7 +40,7 @@
 void
 ReportPoller::Start()
 {
-  host_.Clockwork().Every(kReportPeriod, [this] { PollDue(); });
+  host_.TimerQueue().Every(kReportPeriod, [this] { PollDue(); });
 }
 
 void
--- a/src/programs/entryd/trainer_api.cpp
+++ b/src/programs/entryd/trainer_api.cpp
@@ -225,7 +225,7 @@
     aReply->Send(FormatError(request.error()));
     return;
   }
-  const auto rules = host_.Members().View()->rules_;
+  const auto rules = host_.ClusterState().View()->rules_;
   const TrainerId trainer = request.value().trainer_;
   if (!rules->trainers_.contains(trainer)) {
     aReply->Send(FormatError(
@@ -253,7 +253,7 @@
 std::optional<std::string>
 TrainerApi::ChoosePeer(const Forward& aForward) const
 {
-  const auto view = host_.Members().View();
+  const auto view = host_.ClusterState().View();
   const auto asked = [&](const std::string& aPeer) {
     return std::find(aForward.asked_.begin(), aForward.asked_.end(), aPeer) !=
            aForward.asked_.end();
--- a/tests/control_fixture.hpp
+++ b/tests/control_fixture.hpp
@@ -23,9 +23,9 @@
   {
     InstanceRecord self;
     self.id_ = InstanceId{ "self" };
-    host_.Members().Start(self);
-    REQUIRE(Wait([this] { return host_.Members().Lease() != 0; }));
-    host_.Members().SetRules(std::move(aRules));
+    host_.ClusterState().Start(self);
+    REQUIRE(Wait([this] { return host_.ClusterState().Lease() != 0; }));
+    host_.ClusterState().SetRules(std::move(aRules));
   }
 
   ~ControlProcess() { std::filesystem::remove_all(folder_); }
--- a/tests/log_capture.hpp
+++ b/tests/log_capture.hpp
@@ -47,7 +47,7 @@
     return lines;
   }
 
-  [[nodiscard]] bool Tells(const std::string& aText) const
+  [[nodiscard]] bool Contains(const std::string& aText) const
   {
     return Lines().find(aText) != std::string::npos;
   }
--- a/tests/test_allocation_service.cpp
+++ b/tests/test_allocation_service.cpp
@@ -23,7 +23,7 @@
   {
   }
 
-  ~Process() { host_.Clockwork().Stop(); }
+  ~Process() { host_.TimerQueue().Stop(); }
 
   /// Three engines, one for live callers and two for a trainer.
   static std::shared_ptr<const Rules> MakeRules()
@@ -68,8 +68,8 @@
 {
   Process process;
   process.Put(kRoles, R"({"e0":"live","e1":"t"})");
-  process.host_.Members().Records().onRecords_({});
-  REQUIRE(process.host_.Members().View()->roles_.empty());
+  process.host_.ClusterState().Records().onRecords_({});
+  REQUIRE(process.host_.ClusterState().View()->roles_.empty());
   REQUIRE(Process::Wait([&process] {
     process.allocation_.Tick();
     return process.Roles().contains("e2");
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -78,9 +78,9 @@
 }
 
 /// A cluster whose timers are stopped, so that only the test acts.
-struct QuietCluster
+struct ManualCluster
 {
-  QuietCluster()
+  ManualCluster()
   {
     settings_.instance_ = "entry-1";
     timers_.Stop();
@@ -102,43 +102,43 @@
 
 TEST_CASE("a zone cut off from the store keeps owners, versions, instances")
 {
-  QuietCluster quiet;
-  quiet.store_.down_ = true;
-  quiet.cluster_.Refresh();
-  const auto view = quiet.cluster_.View();
+  ManualCluster fixture;
+  fixture.store_.down_ = true;
+  fixture.cluster_.Refresh();
+  const auto view = fixture.cluster_.View();
   CHECK(view->owners_.contains("trainer/a"));
   CHECK(view->versions_.at("m") == WeightVersion{ 7 });
   CHECK(view->instances_.size() == 2);
-  CHECK(quiet.cluster_.Lease() == 7);
+  CHECK(fixture.cluster_.Lease() == 7);
   // Members of other zones are gone; what the store said stays.
-  quiet.cluster_.SetMembers({ MakeMember("entry-1") });
-  CHECK(quiet.cluster_.View()->instances_.size() == 1);
-  CHECK(quiet.cluster_.View()->owners_.contains("trainer/a"));
+  fixture.cluster_.SetMembers({ MakeMember("entry-1") });
+  CHECK(fixture.cluster_.View()->instances_.size() == 1);
+  CHECK(fixture.cluster_.View()->owners_.contains("trainer/a"));
 }
 
 TEST_CASE("on rejoin an older store reverts nothing, a newer one counts")
 {
-  QuietCluster quiet;
-  const FakeStore before = quiet.store_;
-  quiet.store_.records_.clear();
-  quiet.store_.revision_ = 5;
-  quiet.store_.Put(kVersionPrefix, "m", R"({"version":6})");
-  quiet.cluster_.Refresh();
-  CHECK(quiet.cluster_.View()->versions_.at("m") == WeightVersion{ 7 });
-  CHECK(quiet.cluster_.View()->owners_.contains("trainer/a"));
-  quiet.store_ = before;
-  quiet.store_.Put(kOwnerPrefix, "trainer/a", R"({"owner":"d","rpc":"d:1"})");
-  quiet.cluster_.Refresh();
-  const auto view = quiet.cluster_.View();
+  ManualCluster fixture;
+  const FakeStore before = fixture.store_;
+  fixture.store_.records_.clear();
+  fixture.store_.revision_ = 5;
+  fixture.store_.Put(kVersionPrefix, "m", R"({"version":6})");
+  fixture.cluster_.Refresh();
+  CHECK(fixture.cluster_.View()->versions_.at("m") == WeightVersion{ 7 });
+  CHECK(fixture.cluster_.View()->owners_.contains("trainer/a"));
+  fixture.store_ = before;
+  fixture.store_.Put(kOwnerPrefix, "trainer/a", R"({"owner":"d","rpc":"d:1"})");
+  fixture.cluster_.Refresh();
+  const auto view = fixture.cluster_.View();
   CHECK(view->owners_.at("trainer/a").owner_ == InstanceId{ "d" });
   CHECK(view->owners_.at("trainer/a").term_ == FencingNumber{ 13 });
   auto rules = std::make_shared<Rules>();
   rules->revision_ = ConfigRevision{ 4 };
-  quiet.cluster_.SetRules(rules);
+  fixture.cluster_.SetRules(rules);
   auto older = std::make_shared<Rules>();
   older->revision_ = ConfigRevision{ 3 };
-  quiet.cluster_.SetRules(older);
-  CHECK(quiet.cluster_.View()->rules_->revision_ == ConfigRevision{ 4 });
+  fixture.cluster_.SetRules(older);
+  CHECK(fixture.cluster_.View()->rules_->revision_ == ConfigRevision{ 4 });
 }
 
 // An engine was ordered from a trainer's work to live callers and back. The
@@ -147,22 +147,22 @@
 // engine has its rule's role.
 TEST_CASE("roles that cannot be read leave the last known in force")
 {
-  QuietCluster quiet;
+  ManualCluster fixture;
   const UpstreamId engine{ "e" };
-  quiet.store_.Put(kRolePrefix, "lm", R"({"e":"t"})");
-  quiet.cluster_.Refresh();
-  REQUIRE(quiet.cluster_.View()->roles_.at(engine) == "t");
-  quiet.store_.Put(kRolePrefix, "lm", "unreadable");
-  quiet.cluster_.Refresh();
-  quiet.cluster_.Refresh();
-  REQUIRE(quiet.cluster_.View()->roles_.contains(engine));
-  REQUIRE(quiet.cluster_.View()->roles_.at(engine) == "t");
-  quiet.store_.Put(kRolePrefix, "lm", R"({"e":"live"})");
-  quiet.cluster_.Refresh();
-  REQUIRE(quiet.cluster_.View()->roles_.at(engine) == "live");
+  fixture.store_.Put(kRolePrefix, "lm", R"({"e":"t"})");
+  fixture.cluster_.Refresh();
+  REQUIRE(fixture.cluster_.View()->roles_.at(engine) == "t");
+  fixture.store_.Put(kRolePrefix, "lm", "unreadable");
+  fixture.cluster_.Refresh();
+  fixture.cluster_.Refresh();
+  REQUIRE(fixture.cluster_.View()->roles_.contains(engine));
+  REQUIRE(fixture.cluster_.View()->roles_.at(engine) == "t");
+  fixture.store_.Put(kRolePrefix, "lm", R"({"e":"live"})");
+  fixture.cluster_.Refresh();
+  REQUIRE(fixture.cluster_.View()->roles_.at(engine) == "live");
   // A record that is gone is known to be gone.
-  quiet.store_.records_.clear();
-  ++quiet.store_.revision_;
-  quiet.cluster_.Refresh();
-  REQUIRE_FALSE(quiet.cluster_.View()->roles_.contains(engine));
+  fixture.store_.records_.clear();
+  ++fixture.store_.revision_;
+  fixture.cluster_.Refresh();
+  REQUIRE_FALSE(fixture.cluster_.View()->roles_.contains(engine));
 }
--- a/tests/test_control_faults.cpp
+++ b/tests/test_control_faults.cpp
@@ -24,7 +24,7 @@
   {
   }
 
-  ~Process() { host_.Clockwork().Stop(); }
+  ~Process() { host_.TimerQueue().Stop(); }
 
   static std::shared_ptr<const Rules> MakeRules()
   {
--- a/tests/test_job_directory.cpp
+++ b/tests/test_job_directory.cpp
@@ -281,7 +281,7 @@
   REQUIRE(fix.store_.refusals_ == 0);
   REQUIRE(fix.store_.records_.contains(job_keys::Owner(fix.job_)));
   REQUIRE(fix.store_.records_.contains(job_keys::End(fix.job_)));
-  REQUIRE(log.Tells("event=job_removal_failed job=old"));
+  REQUIRE(log.Contains("event=job_removal_failed job=old"));
   fix.timers_.Advance(30s);
   REQUIRE(fix.CountRecords() == 0);
   REQUIRE_FALSE(fix.store_.records_.contains(job_keys::Owner(fix.job_)));
@@ -295,7 +295,7 @@
   fix.timers_.Advance(25s);
   fix.store_.fault_ = StoreFault::Refuses;
   fix.timers_.Advance(6s);
-  REQUIRE(log.Tells("event=job_removal_failed job=old"));
+  REQUIRE(log.Contains("event=job_removal_failed job=old"));
   REQUIRE(fix.CountRecords() == RemovalFixture::kItems);
 }
 
--- a/tests/test_leased_key.cpp
+++ b/tests/test_leased_key.cpp
@@ -177,15 +177,17 @@
   {
     store.LapseAll();
     timers.Advance(600ms);
-    REQUIRE(log.Tells("event=lease_lost key=duty why=\"the store ended it\""));
+    REQUIRE(
+      log.Contains("event=lease_lost key=duty why=\"the store ended it\""));
   }
   SECTION("it was not renewed in time")
   {
     store.fault_ = StoreFault::Silent;
     timers.Advance(3s);
     // Renewals that get no answer are not sent late.
-    REQUIRE(log.Tells("renewal_delay_ms=0"));
-    REQUIRE(log.Tells("event=lease_lost key=duty why=\"not renewed in time\""));
+    REQUIRE(log.Contains("renewal_delay_ms=0"));
+    REQUIRE(
+      log.Contains("event=lease_lost key=duty why=\"not renewed in time\""));
   }
 }
 
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -249,7 +249,7 @@
   });
   fix.Answer(200, R"({"events":[{}],"as_of":8})");
   REQUIRE(ended);
-  REQUIRE(log.Tells("event=watch_unreadable prefix=p/ after=4"));
+  REQUIRE(log.Contains("event=watch_unreadable prefix=p/ after=4"));
 }
 
 // Guards against a relay that keeps a replaced configuration in force for too
--- a/tests/test_unknown_rules.cpp
+++ b/tests/test_unknown_rules.cpp
@@ -31,7 +31,7 @@
 {
   auto rules = std::make_shared<Rules>();
   rules->revision_ = ConfigRevision{ 1 };
-  aHost.Members().SetRules(std::move(rules));
+  aHost.ClusterState().SetRules(std::move(rules));
 }
 
 std::shared_ptr<FakeReply>
@@ -81,11 +81,11 @@
   TrainerService trainers(host, owners);
   InstanceRecord self;
   self.id_ = InstanceId{ "self" };
-  host.Members().Start(self);
+  host.ClusterState().Start(self);
   StoreRecord owner;
   owner.key_ = std::string(kOwnerPrefix) + "trainer/" + kTrainer.Get();
   owner.value_ = R"({"owner":"self","rpc":"a:1"})";
-  host.Members().Records().onRecords_({ { owner.key_, owner } });
+  host.ClusterState().Records().onRecords_({ { owner.key_, owner } });
   const auto close = [&] {
     std::optional<ErrorKind> error;
     trainers.Serve(
