--- a/src/daemon/access.cpp
+++ b/src/daemon/access.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kScheme = "Bearer ";
 
-/// @returns the hash of the token that a request carries; empty if none
+/// @returns the hash of the request's bearer token; empty if there is none
 std::string
 HashOfToken(const HttpHeaders& aHeaders)
 {
@@ -22,7 +22,7 @@
   return ContentHash(header->substr(kScheme.size()));
 }
 
-/// Compares in a time that does not depend on where they differ.
+/// Compares in constant time, against timing attacks.
 bool
 IsSameHash(const std::string& aOne, const std::string& aTwo)
 {
@@ -65,7 +65,8 @@
 {
   const std::string given = HashOfToken(aHeaders);
   const OperatorRule* found = nullptr;
-  // All are compared, so that the time tells nothing of their order.
+  // Compares with all operators, so that the run time does not reveal which
+  // one matched.
   for (const auto& [id, rule] : aRules.operators_) {
     if (IsSameHash(given, rule.tokenHash_)) {
       found = &rule;
--- a/src/daemon/access.hpp
+++ b/src/daemon/access.hpp
@@ -1,4 +1,4 @@
-/// Who may do what: bearer tokens against the hashes in the rules.
+/// Access checks: compares bearer tokens with the hashes in the rules.
 #pragma once
 
 #include "marjoramtally/runtime/http_types.hpp"
@@ -6,16 +6,16 @@
 
 namespace marjoramtally {
 
-/// Checks that a trainer's caller holds its token, if the rules name one.
-/// A refusal is logged, without the token.
-/// @returns an error of kind `Refused` unless it may go on
+/// Checks that the caller of a trainer presents the trainer's token, if the
+/// rules define one. Refusals are logged without the token.
+/// @returns an error of kind `Refused` if access is denied
 [[nodiscard]] Result<bool>
 CheckTrainerAccess(const Rules& aRules,
                    const TrainerId& aTrainer,
                    const HttpHeaders& aHeaders);
 
-/// Checks that a caller holds some operator's token. While the rules name no
-/// operator, nobody does.
+/// Checks that a caller presents the token of any operator. If the rules
+/// define no operator, every caller is refused.
 /// @returns the operator, or an error of kind `Refused`
 [[nodiscard]] Result<OperatorId>
 CheckOperatorAccess(const Rules& aRules, const HttpHeaders& aHeaders);
--- a/src/daemon/cluster.cpp
+++ b/src/daemon/cluster.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-/// @returns the text of a field, empty if it is missing; nothing if it is none
+/// @returns a field's text, empty if missing; nothing if it is not a string
 std::optional<std::string>
 ReadText(const Json& aBody, const char* aField)
 {
@@ -73,8 +73,8 @@
   return owner.has_value();
 }
 
-/// Sorts one record of the store into the view.
-/// @returns whether it could be read
+/// Parses one store record into the view.
+/// @returns whether the record was readable
 bool
 ReadRecord(const StoreRecord& aRecord,
            ClusterView& aView,
@@ -102,8 +102,8 @@
 
 } // namespace
 
-/// What is read here may have been written by anyone: a field of another kind
-/// would throw into a callback, where nobody catches it.
+/// The record may come from any writer. Field types are checked, because an
+/// exception in the store's callback would not be caught.
 std::optional<OwnerRecord>
 ReadDutyOwner(const StoreRecord& aRecord)
 {
@@ -205,7 +205,8 @@
   });
 }
 
-/// Without roles each engine has its rule's, and would be ordered to it.
+/// An engine without an allocated role falls back to the role in its rule and
+/// would be ordered to switch to it.
 void
 Cluster::KeepLastReadableRoles(const LiveRecordMap& aRecords,
                                const std::set<std::string>& aUnreadable,
@@ -253,7 +254,7 @@
   });
 }
 
-/// Changes a copy of the view, puts it in place and tells the listeners.
+/// Publishes a changed copy of the view and notifies the listeners.
 void
 Cluster::Update(const std::function<void(ClusterView&)>& aChange)
 {
--- a/src/daemon/cluster.hpp
+++ b/src/daemon/cluster.hpp
@@ -1,4 +1,4 @@
-/// This process's part in the cluster: its lease and record in the store,
+/// Cluster membership of this process: its lease and record in the store,
 /// and a view of instances, owners, weight versions and rules.
 #pragma once
 
@@ -15,19 +15,19 @@
 
 namespace marjoramtally {
 
-/// Keys in the store of what changes while the system runs.
+/// Store keys of the records that change at run time.
 inline constexpr std::string_view kLivePrefix = "/marjoramtally/live/";
 inline constexpr std::string_view kInstancePrefix =
   "/marjoramtally/live/instances/";
 inline constexpr std::string_view kOwnerPrefix = "/marjoramtally/live/owners/";
 inline constexpr std::string_view kVersionPrefix =
   "/marjoramtally/live/versions/";
-/// Roles of a service's engines, as its allocation's owner wants them.
+/// Roles of a service's engines, as set by the owner of its allocation.
 inline constexpr std::string_view kRolePrefix = "/marjoramtally/live/roles/";
-/// The role of engines that are for live callers.
+/// The role of engines that serve live callers.
 inline constexpr std::string_view kLiveRole = "live";
 
-/// One of our processes as it registers itself.
+/// Record under which a process registers itself.
 struct InstanceRecord
 {
   InstanceId id_;
@@ -38,13 +38,13 @@
   std::string rpc_;
 };
 
-/// Who owns a duty; the term is its fencing number.
+/// Owner of a duty; the term is its fencing number.
 struct OwnerRecord
 {
   InstanceId owner_;
   std::string rpc_;
   FencingNumber term_;
-  /// The record lives as long as this lease.
+  /// The store deletes the record when this lease expires.
   StoreLeaseId lease_ = 0;
 };
 
@@ -77,34 +77,36 @@
   /// All arguments outlive the cluster.
   Cluster(const DaemonSettings& aSettings, Store& aStore, Timers& aTimers);
 
-  /// Given the RPC addresses in the store's records; set before `Start`.
+  /// Receives the RPC addresses from the store's records; set before `Start`.
   SeedListener onSeeds_;
 
   /// Registers this process and starts to refresh the view.
   void Start(InstanceRecord aSelf);
-  /// Takes this process's record out of the store.
+  /// Removes this process's record from the store.
   void Leave(std::function<void()> aDone);
   [[nodiscard]] ClusterViewPtr View() const;
   [[nodiscard]] const InstanceRecord& Self() const noexcept { return self_; }
-  /// @returns the session lease if this process may act by it now, else 0
+  /// @returns the session lease if this instance is registered and the lease
+  /// has not expired, else 0
   [[nodiscard]] StoreLeaseId Lease() const { return session_.Lease(); }
-  /// @returns until when the session lease holds for certain: its time to
-  /// live, counted from when its last confirmed renewal was sent
+  /// @returns the time until which the session lease is certain to be valid:
+  /// the send time of the last confirmed renewal plus the time to live
   [[nodiscard]] TimePoint LeaseUntil() const { return session_.Until(); }
-  /// Called after each change of the view and every refresh period.
+  /// Adds a listener that is called after each change of the view and once
+  /// per refresh period.
   void OnRefresh(std::function<void(const ClusterViewPtr&)> aListener);
-  /// Puts rules of a higher revision into the view; others are ignored.
+  /// Updates the view's rules if the revision is higher; otherwise ignored.
   void SetRules(std::shared_ptr<const Rules> aRules);
-  /// Puts the instances that membership knows into the view.
+  /// Replaces the view's instances by the members known to gossip.
   void SetMembers(const std::vector<Member>& aMembers);
-  /// Reads the store's records anew now.
+  /// Reads all records from the store again, immediately.
   void Refresh();
-  /// Which instances watch the store, and what they saw change.
+  /// The live records and the watch that keeps them current.
   [[nodiscard]] LiveRecords& Records() noexcept { return records_; }
 
 private:
   void ApplyRecords(const LiveRecordMap& aRecords);
-  /// Takes the last roles that could be read in place of those that cannot.
+  /// For role records that are unreadable, uses the last readable ones.
   void KeepLastReadableRoles(const LiveRecordMap& aRecords,
                              const std::set<std::string>& aUnreadable,
                              ClusterView& aView);
@@ -116,7 +118,7 @@
   LiveRecords records_;
   InstanceRecord self_;
   mutable std::mutex mutex_;
-  /// Records of roles as they could last be read.
+  /// The last readable role records.
   LiveRecordMap roles_;
   ClusterViewPtr view_ = std::make_shared<ClusterView>();
   std::vector<std::function<void(const ClusterViewPtr&)>> listeners_;
--- a/src/daemon/config_editor.cpp
+++ b/src/daemon/config_editor.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-/// Failed store calls in a row after which an edit gives up.
+/// Consecutive failed store calls after which an edit is abandoned.
 constexpr int kMaxFailures = 8;
-/// Commits lost to other editors after which an edit gives up.
+/// Commits lost to concurrent editors after which an edit is abandoned.
 constexpr int kMaxLostCommits = 100;
+/// Base and maximum of the retry delay, which doubles with each consecutive
+/// failure.
 constexpr Duration kInitialWait = std::chrono::milliseconds(20);
 constexpr Duration kMaxWait = std::chrono::seconds(1);
 
@@ -36,7 +38,7 @@
   return txn;
 }
 
-/// Keeps itself alive by the callbacks that it waits for.
+/// Runs one edit. Pending callbacks hold shared ownership of the object.
 class EditDriver : public std::enable_shared_from_this<EditDriver>
 {
 public:
@@ -181,7 +183,7 @@
     }
   }
 
-  /// Takes the next step after a wait with jitter.
+  /// Schedules the next step after a delay with jitter.
   void StepAfter(Duration aWait)
   {
     const auto spread = static_cast<std::uint64_t>(aWait.count());
@@ -316,7 +318,7 @@
 Result<std::uint64_t>
 SweepContents(Store& aStore)
 {
-  /// Operations of one transaction that the store takes.
+  /// The store limits the operations per transaction.
   constexpr std::size_t kMaxDeletes = 100;
   const auto manifest = Await<StoredManifest>(
     [&](auto aDone) { ReadStoredManifest(aStore, std::move(aDone)); });
@@ -335,7 +337,8 @@
   }
   auto garbage = FindGarbage(used, hashes);
   garbage.resize(std::min(garbage.size(), kMaxDeletes));
-  // An edit in between may use a content again: then nothing is deleted.
+  // A concurrent edit may reference a blob again. The compare on the manifest
+  // then fails and nothing is deleted.
   StoreTxn txn;
   txn.compares_.push_back(
     { std::string(kManifestKey), manifest.value().modification_ });
--- a/src/daemon/config_editor.hpp
+++ b/src/daemon/config_editor.hpp
@@ -1,4 +1,4 @@
-/// Takes edits to their acceptance in the store.
+/// Submits configuration edits to the store.
 #pragma once
 
 #include "daemon/manifest.hpp"
@@ -9,27 +9,27 @@
 
 namespace marjoramtally {
 
-/// The manifest and the store's revision of its last modification.
+/// The manifest and the store revision of its last modification.
 struct StoredManifest
 {
   Manifest manifest_;
   std::uint64_t modification_ = 0;
 };
 
-/// How an edit ended.
+/// Outcome of an edit.
 struct EditResult
 {
   /// One of the final steps.
   EditStep step_ = EditStep::Unsettled;
-  /// The revision as which it is accepted.
+  /// The revision under which the edit was accepted.
   ConfigRevision revision_;
   std::string id_;
-  /// Files that others changed.
+  /// Files that other editors changed in the meantime.
   std::vector<std::string> conflicts_;
   Findings problems_;
 };
 
-/// Waits for the answer of an asynchronous call.
+/// Blocks until an asynchronous call has returned its result.
 template<typename T, typename Start>
 Result<T>
 Await(Start aStart)
@@ -40,10 +40,10 @@
   return future.get();
 }
 
-/// Makes an edit without changes, with a fresh id and the present time.
+/// Makes an empty edit with a new random id and the current time.
 [[nodiscard]] ConfigEdit
 MakeEdit(std::string aAuthor);
-/// Adds a file's new content to an edit.
+/// Adds the new content of a file to an edit.
 void
 AddChange(ConfigEdit& aEdit,
           std::string aName,
@@ -53,21 +53,21 @@
 void
 ReadStoredManifest(Store& aStore, StoreDone<StoredManifest> aDone);
 
-/// Drives an edit until it has ended. An error says whether the edit may
-/// have taken effect.
-/// @param aStore outlives the call, as do the timers
+/// Submits an edit and retries until its outcome is final. An error states
+/// whether the edit may have taken effect.
+/// @param aStore must outlive the call, like the timers
 void
 SubmitEdit(Store& aStore,
            Timers& aTimers,
            ConfigEdit aEdit,
            StoreDone<EditResult> aDone);
 
-/// Deletes contents that no kept revision uses.
-/// @returns how many
+/// Deletes blobs that no retained revision references.
+/// @returns the number of deleted blobs
 [[nodiscard]] Result<std::uint64_t>
 SweepContents(Store& aStore);
 
-/// @returns the kept records of the log, oldest first
+/// @returns the retained log records, oldest first
 [[nodiscard]] Result<std::vector<Manifest>>
 ReadLog(Store& aStore);
 
--- a/src/daemon/config_http.cpp
+++ b/src/daemon/config_http.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// One key of one file to set, as a request asks.
+/// The assignment of one key in one file, parsed from a request.
 struct EditRequest
 {
   std::string file_;
--- a/src/daemon/config_http.hpp
+++ b/src/daemon/config_http.hpp
@@ -1,4 +1,4 @@
-/// The configuration's routes for operators: read it, change one key.
+/// HTTP routes for operators: read the configuration, change one key.
 #pragma once
 
 #include "daemon/cluster.hpp"
@@ -17,7 +17,8 @@
              Store& aStore,
              Timers& aTimers);
 
-  /// @returns whether the path is one of these routes; then it is answered
+  /// Answers the request if its path is one of these routes.
+  /// @returns whether it was
   bool TryServe(const HttpRequest& aRequest, const HttpReplyPtr& aReply);
 
 private:
--- a/src/daemon/config_peers.cpp
+++ b/src/daemon/config_peers.cpp
@@ -212,7 +212,7 @@
     waitingPeers_.push_back(std::move(aDone));
   }
   OnReceivedRevision(announcement.revision_, announcement.sender_);
-  // A fetch that ended in between has answered those before it only.
+  // If a fetch ended before this entry was queued, nothing else answers it.
   if (announcement.revision_ <= state_.Revision()) {
     AnswerWaitingPeers();
   }
--- a/src/daemon/config_peers.hpp
+++ b/src/daemon/config_peers.hpp
@@ -1,4 +1,4 @@
-/// Accepted configuration from instance to instance.
+/// Exchange of accepted configuration between instances.
 #pragma once
 
 #include "daemon/config_state.hpp"
@@ -8,8 +8,8 @@
 
 namespace marjoramtally {
 
-/// Tells peers of the revision in force here, answers theirs and fetches
-/// what they have. Thread-safe.
+/// Announces the local revision to peers, answers their announcements and
+/// fetches higher revisions from them. Thread-safe.
 class ConfigPeers
 {
 public:
@@ -17,19 +17,20 @@
   ConfigPeers(ConfigState& aState, Metrics& aMetrics);
 
   void Start(RpcNode& aNode, std::string aSelf);
-  /// Makes no more calls.
+  /// Stops making calls to peers.
   void Stop();
-  /// Sets whom to tell; those who lag behind are told again and again.
+  /// Sets the RPC addresses of the peers to announce to. `Announce` repeats
+  /// the announcement to those that have a lower revision.
   void SetTargets(const std::vector<std::string>& aTargets);
-  /// Tells the targets that are not known to have the revision in force.
+  /// Announces the revision in force to all targets not known to have it.
   void Announce();
-  /// Fetches from a peer that has a higher revision.
+  /// Fetches from the peer if its announced revision is higher.
   void OnReceivedRevision(ConfigRevision aRevision, const std::string& aPeer);
-  /// Fetches from a peer whatever it has.
+  /// Fetches the peer's configuration, whatever its revision.
   void FetchFrom(const std::string& aPeer);
-  /// @returns whether an answer from a peer is awaited
+  /// @returns whether a fetch is in progress
   [[nodiscard]] bool Fetching();
-  /// Serves one call of the configuration topic.
+  /// Handles one call of the configuration topic.
   void Serve(const RpcCall& aCall, RpcDone aDone);
 
 private:
@@ -46,11 +47,11 @@
   std::string self_;
   std::mutex mutex_;
   std::vector<std::string> targets_;
-  /// Revision that each target is known to have.
+  /// Last revision that each target confirmed.
   std::map<std::string, ConfigRevision> known_;
   std::set<std::string> announcing_;
   bool fetching_ = false;
-  /// Tellers who wait until a fetch is over.
+  /// Announcements to answer once the fetch in progress has ended.
   std::vector<RpcDone> waitingPeers_;
 };
 
--- a/src/daemon/config_service.cpp
+++ b/src/daemon/config_service.cpp
@@ -7,16 +7,17 @@
 namespace {
 
 constexpr std::string_view kFileName = "/config.bin";
-/// A watcher also reads the manifest this often: a connection may be dead
-/// without a sign, and a store may come back older.
+/// Read period of instances that watch the store. It detects dead connections
+/// that report no error and a store restored to an older state.
 constexpr Duration kWatcherReadPeriod = std::chrono::seconds(5);
-/// Others read it this often, should all who tell them be wrong.
+/// Read period of the other instances, in case every announcing peer is
+/// outdated.
 constexpr Duration kBackupReadPeriod = std::chrono::minutes(2);
-/// Rounds until the first view of the other instances is there.
+/// Ticks to wait for the first view of the other instances.
 constexpr int kTicksBeforePeerFetch = 2;
-/// Rounds that a new instance waits for a peer's answer.
+/// Ticks that a new instance waits for a peer's answer.
 constexpr int kMaxTicksForPeerFetch = 3;
-/// Rounds between reads while nothing is in force.
+/// Ticks between reads while no rules are in force.
 constexpr int kTicksPerReadWithoutRules = 5;
 
 std::string
@@ -98,8 +99,10 @@
   peers_.Announce();
 }
 
-/// A new instance asks a peer before the store: the store may have come
-/// back older, and what peers have in force must not be undercut.
+/// A new instance queries a peer before the store: the store may have been
+/// restored to an older state, and the new instance must not apply a lower
+/// revision than its peers.
+/// @returns whether the peer has answered or the wait for it has ended
 bool
 ConfigService::QueryPeersFirst()
 {
--- a/src/daemon/config_service.hpp
+++ b/src/daemon/config_service.hpp
@@ -1,5 +1,5 @@
-/// Brings accepted configuration into force in this process: two instances
-/// of a zone watch the store, the others hear from them.
+/// Applies accepted configuration in this process. Two instances per zone
+/// watch the store; the others receive revisions from them.
 #pragma once
 
 #include "daemon/cluster.hpp"
@@ -10,7 +10,7 @@
 
 namespace marjoramtally {
 
-/// Hands on each higher revision. Thread-safe.
+/// Applies and announces each higher revision. Thread-safe.
 class ConfigService final : public ConfigRelay
 {
 public:
@@ -21,22 +21,22 @@
                 Metrics& aMetrics,
                 Cluster& aCluster);
 
-  /// Told of each revision that comes into force; set before `Start`.
+  /// Called with each revision that comes into force; set before `Start`.
   std::function<void(ConfigRevision)> onRevision_;
 
-  /// Applies what the data folder holds, then follows store and peers.
+  /// Applies the revision saved in the data folder, then follows the store
+  /// and the peers.
   void Start(RpcNode& aNode);
-  /// Makes no more calls to peers.
+  /// Stops making calls to peers.
   void Stop();
   void OnHeard(ConfigRevision aRevision, const std::string& aPeer) override;
   [[nodiscard]] ConfigRevision Revision() const override;
-  /// Serves one call of the configuration topic.
+  /// Handles one call of the configuration topic.
   void Serve(const RpcCall& aCall, RpcDone aDone);
 
   [[nodiscard]] ConfigStatus Status() const { return state_.Status(); }
   [[nodiscard]] ConfigContent Content() const { return state_.Content(); }
-  /// @returns why this instance should not serve yet, for people; empty if
-  /// it may
+  /// @returns a readable reason why this instance is not ready; empty if it is
   [[nodiscard]] std::string WhyNotReady() const;
 
 private:
@@ -54,7 +54,7 @@
   ConfigWatch watch_;
   ConfigPeers peers_;
   std::atomic<bool> peersQueried_{ false };
-  /// Used on the timers' thread only.
+  /// Only used on the timer thread, like the three fields below.
   int ticks_ = 0;
   TimePoint nextRead_;
   std::size_t nextPeer_ = 0;
--- a/src/daemon/config_state.hpp
+++ b/src/daemon/config_state.hpp
@@ -1,4 +1,4 @@
-/// What configuration is in force in this process, with its contents.
+/// The configuration in force in this process, with its contents.
 #pragma once
 
 #include "daemon/manifest.hpp"
@@ -10,40 +10,42 @@
 
 namespace marjoramtally {
 
-/// What operators see of it.
+/// Configuration state as shown to operators.
 struct ConfigStatus
 {
   Manifest inForce_;
-  /// What keeps a newer revision from being applied; empty for nothing.
+  /// Why a newer revision cannot be applied; empty if there is no problem.
   std::string problem_;
-  /// Set while the store shows less than it had accepted.
+  /// Set while the store holds an older or different state than it had
+  /// accepted before.
   bool storeReverted_ = false;
 };
 
-/// Applies ever higher revisions and keeps the last on disk, if there is
-/// one. Thread-safe.
+/// Applies revisions in ascending order and saves the last one to disk if a
+/// file is set. Thread-safe.
 class ConfigState
 {
 public:
   using Listener = std::function<void(std::shared_ptr<const Rules>)>;
 
-  /// @param aFile where the last applied revision is kept; empty: nowhere
-  /// @param aOnApplied called with rules of ever higher revisions
+  /// @param aFile stores the last applied revision; empty disables saving
+  /// @param aOnApplied called with the rules of each applied revision
   ConfigState(std::string aFile, Metrics& aMetrics, Listener aOnApplied);
 
-  /// Applies what the file holds.
+  /// Applies the revision saved in the file.
   void LoadFile();
-  /// Judges a manifest; one that goes back is logged and counted.
+  /// Classifies a manifest; a reverted one is logged and counted.
   ManifestVerdict Judge(const Manifest& aManifest, ManifestSource aSource);
-  /// @returns hashes of the manifest's contents that are not known here
+  /// @returns the hashes of the manifest's blobs that are not known locally
   [[nodiscard]] std::vector<std::string> Missing(
     const Manifest& aManifest) const;
-  /// Puts a manifest in force if it is higher and its rules are sound.
-  /// @param aBlobs contents by hash that were missing
+  /// Puts a manifest in force if its revision is higher and its rules are
+  /// valid.
+  /// @param aBlobs the missing blobs by hash
   void Apply(const Manifest& aManifest,
              const std::map<std::string, std::string>& aBlobs,
              ManifestSource aSource);
-  /// Notes why nothing newer can be applied.
+  /// Sets the reason why a newer revision cannot be applied.
   void SetProblem(std::string aProblem);
 
   [[nodiscard]] ConfigContent Content() const;
@@ -64,10 +66,10 @@
   AppliedConfig applied_;
   std::map<std::string, std::string> blobs_;
   std::string problem_;
-  /// The manifest last reported as going back.
+  /// The last manifest that was reported as reverted.
   std::optional<Manifest> reverted_;
-  /// Held while the file is written, so that a lower revision never
-  /// replaces a higher one there.
+  /// Serializes writes of the file, so that a lower revision never overwrites
+  /// a higher one.
   std::mutex fileMutex_;
 };
 
--- a/src/daemon/config_watch.cpp
+++ b/src/daemon/config_watch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Wait before a watch that ended is opened anew; doubles up to the limit.
+/// Backoff before an ended watch is reopened; doubles up to the limit.
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(50);
 constexpr Duration kMaxBackoff = std::chrono::seconds(5);
 
@@ -148,7 +148,7 @@
       if (!aRead) {
         SetError(aRead.error().message_);
         const std::lock_guard lock(mutex_);
-        ended_ = true; // read all again, after a wait
+        ended_ = true; // the watch reopens and reads again after the backoff
         return;
       }
       const auto& records = aRead.value().records_;
--- a/src/daemon/config_watch.hpp
+++ b/src/daemon/config_watch.hpp
@@ -5,7 +5,7 @@
 
 namespace marjoramtally {
 
-/// Brings manifests and contents from the store to the state. Thread-safe.
+/// Passes manifests and blobs from the store to the state. Thread-safe.
 class ConfigWatch
 {
 public:
@@ -14,9 +14,9 @@
 
   /// Reads the manifest once.
   void Read();
-  /// Keeps a watch open, or closes it; to be called again and again.
+  /// Opens, reopens or closes the watch as needed; call periodically.
   void Keep(bool aWanted, TimePoint aNow);
-  /// @returns what the store last answered; empty after a success
+  /// @returns the error of the last store call; empty if it succeeded
   [[nodiscard]] std::string LastError() const;
 
 private:
--- a/src/daemon/gossip_service.cpp
+++ b/src/daemon/gossip_service.cpp
@@ -14,7 +14,7 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
 }
 
-/// What listeners are told, gathered under the lock.
+/// Changes to pass to the listeners, collected under the lock.
 struct PendingNotifications
 {
   std::optional<std::vector<Member>> members_;
@@ -47,7 +47,8 @@
   timers_.Every(kTickPeriod, [this] { Tick(); });
 }
 
-/// Gives one event to the core under the lock, then acts without it.
+/// Passes one event to the core under the lock, then runs the resulting
+/// actions without it.
 template<typename Event>
 void
 GossipService::Feed(Event aEvent)
--- a/src/daemon/gossip_service.hpp
+++ b/src/daemon/gossip_service.hpp
@@ -1,4 +1,4 @@
-/// Drives the membership core of this process: timers and calls to peers.
+/// Runs the membership protocol of this process: timers and calls to peers.
 #pragma once
 
 #include "daemon/settings.hpp"
@@ -15,26 +15,26 @@
 {
 public:
   using MembersListener = std::function<void(const std::vector<Member>&)>;
-  /// Told of each higher configuration revision and the RPC address of the
-  /// peer that knows it; empty if that is this process.
+  /// Called with each higher configuration revision and the RPC address of the
+  /// peer that announced it; the address is empty if it is this process.
   using RevisionListener =
     std::function<void(ConfigRevision, const std::string&)>;
-  /// Told of each newer item from a peer.
+  /// Called with each newer item from a peer.
   using ItemListener = std::function<void(const GossipItem&)>;
 
   /// All arguments outlive the service.
   GossipService(Timers& aTimers, Metrics& aMetrics);
 
-  /// Set these before `Start`; they are called without locks held.
+  /// Set the listeners before `Start`; they are called without locks held.
   MembersListener onMembers_;
   RevisionListener onRevision_;
   ItemListener onStoreRevision_;
 
-  /// @param aSelf this process's record; its incarnation is set here
+  /// @param aSelf this process's record; `Start` sets its incarnation
   void Start(Member aSelf, RpcNode& aRpc);
-  /// Answers a peer's call of the gossip topic.
+  /// Handles a peer's call of the gossip topic.
   void Serve(const RpcCall& aCall, RpcDone aDone);
-  /// Marks this process as leaving and tells peers.
+  /// Marks this process as leaving and announces it to peers.
   void Leave();
 
   void SetSeeds(std::vector<std::string> aAddresses);
@@ -42,7 +42,8 @@
   void SetRevision(ConfigRevision aRevision);
   void Publish(const GossipItem& aItem);
   [[nodiscard]] std::vector<GossipItem> Items(GossipItemKind aKind) const;
-  /// Whether this process keeps its zone's links to others and the store.
+  /// @returns whether this process connects its zone to other zones and to
+  /// the store
   [[nodiscard]] bool IsBridge() const;
 
 private:
@@ -50,7 +51,7 @@
   void Run(GossipActions aActions);
   void Send(const GossipSend& aSend);
   void Answer(const GossipReply& aReply);
-  /// Tells the listeners what is new since the last time.
+  /// Calls the listeners with the changes since the last call.
   void Notify();
   void PublishMetrics();
   template<typename Event>
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::uint32_t kStoreThreads = 1;
 constexpr auto kDrainPoll = std::chrono::milliseconds(10);
-/// Longest wait for the store when the record is taken out at shutdown.
+/// Maximum wait for the store to remove the record at shutdown.
 constexpr auto kLeaveLimit = std::chrono::seconds(1);
 
-/// Fewer bytes are too easy to guess.
+/// Shorter keys are too easy to guess.
 constexpr std::size_t kMinPeerKeyBytes = 32;
 
 Result<std::vector<std::string>>
@@ -36,12 +36,12 @@
     if (line.size() < kMinPeerKeyBytes) {
       return Error{ ErrorKind::BadInput,
                     aFile + ":" + std::to_string(keys.size() + 1) +
-                      ": a key has at least 32 characters" };
+                      ": key is shorter than 32 characters" };
     }
     keys.push_back(line);
   }
   if (keys.empty()) {
-    return Error{ ErrorKind::BadInput, aFile + ": holds no key" };
+    return Error{ ErrorKind::BadInput, aFile + ": contains no key" };
   }
   return keys;
 }
@@ -80,7 +80,8 @@
   ConnectListeners();
 }
 
-/// Lets membership and the store's records feed each other.
+/// Connects membership, configuration and store records: each forwards its
+/// changes to the others.
 void
 Host::ConnectListeners()
 {
--- a/src/daemon/host.hpp
+++ b/src/daemon/host.hpp
@@ -1,5 +1,5 @@
-/// What both daemons do the same way around their own work: the HTTP
-/// server with its health routes, the RPC node, metrics, traces, shutdown.
+/// Infrastructure shared by the daemons: HTTP server with health routes, RPC
+/// node, metrics, traces, shutdown.
 #pragma once
 
 #include "daemon/cluster.hpp"
@@ -10,22 +10,22 @@
 
 namespace marjoramtally {
 
-/// One daemon's input and output.
+/// Owns the servers, clients and shared services of one daemon.
 class Host
 {
 public:
   /// @param aProgram name for logs and traces
   Host(DaemonSettings aSettings, std::string aProgram, std::string aRole);
 
-  /// Handler of requests that are none of the health routes.
+  /// Handles requests to all routes that the host does not serve itself.
   HttpHandler onHttp_;
-  /// Handler of calls from peers.
+  /// Handles peer calls of other topics than configuration and gossip.
   RpcHandler onRpc_;
 
-  /// Binds, registers and writes the port file.
+  /// Binds the ports, registers the instance and writes the port file.
   [[nodiscard]] Result<bool> Start();
   /// Runs until a stop signal, then drains.
-  /// @param aBusy tells whether work is still in progress
+  /// @param aBusy returns whether work is still in progress
   void RunUntilStopped(const std::function<bool()>& aBusy);
 
   [[nodiscard]] const DaemonSettings& Settings() const { return settings_; }
@@ -54,13 +54,13 @@
   Metrics metrics_;
   TraceWriter traces_;
   std::atomic<bool> draining_{ false };
-  /// Loops on which requests are received, sent on and answered.
+  /// Event loops that receive, forward and answer requests.
   std::shared_ptr<IoPool> loops_;
   std::unique_ptr<HttpClient> client_;
-  /// Calls to the store have a loop of their own, so that requests do not
-  /// wait for its answers to be read.
+  /// Store calls use a separate event loop, so that requests do not wait
+  /// while store replies are parsed.
   std::unique_ptr<HttpClient> storeClient_;
-  /// Whether the store could be opened; `Start` reports it if not.
+  /// Result of opening the store; `Start` returns its error.
   Result<std::unique_ptr<Store>> openedStore_;
   std::unique_ptr<Store> store_;
   std::unique_ptr<RpcNode> rpc_;
--- a/src/daemon/instance_list.cpp
+++ b/src/daemon/instance_list.cpp
@@ -31,7 +31,8 @@
 {
   const Json body = Json::parse(aText, nullptr, false);
   if (!body.is_object() || !body.contains("instances")) {
-    return Error{ ErrorKind::BadInput, "the list has no 'instances'" };
+    return Error{ ErrorKind::BadInput,
+                  "instance list has no 'instances' field" };
   }
   std::vector<PlatformInstance> list;
   try {
@@ -40,10 +41,12 @@
     }
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
-                  std::string("an entry of the list: ") + failure.what() };
+                  std::string("unreadable entry in the instance list: ") +
+                    failure.what() };
   }
   return list;
 }
+
 InstanceListReader::InstanceListReader(const DaemonSettings& aSettings,
                                        HttpClient& aClient,
                                        Timers& aTimers,
--- a/src/daemon/instance_list.hpp
+++ b/src/daemon/instance_list.hpp
@@ -1,15 +1,16 @@
-/// Reads the platform's list of live and leaving instances, which lags.
+/// Reads the platform's list of live and leaving instances. The list may be
+/// outdated.
 #pragma once
 
 #include "daemon/gossip_service.hpp"
 
 namespace marjoramtally {
 
-/// Parses the list's JSON; entries without id and address are left out.
+/// Parses the list's JSON; entries without id or address are skipped.
 [[nodiscard]] Result<std::vector<PlatformInstance>>
 ParseInstanceList(const std::string& aText);
 
-/// Gives the list to membership, on the instances that link their zone.
+/// Passes the list to membership, on instances that are their zone's bridge.
 class InstanceListReader
 {
 public:
@@ -19,7 +20,7 @@
                      Timers& aTimers,
                      GossipService& aGossip);
 
-  /// Does nothing if no list is set.
+  /// Does nothing if no list URL is configured.
   void Start();
 
 private:
--- a/src/daemon/manifest.cpp
+++ b/src/daemon/manifest.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// Digits of a revision in a key, so that keys sort as numbers.
+/// Revisions are zero-padded to this width, so that keys sort numerically.
 constexpr std::size_t kRevisionDigits = 12;
 
 Json
@@ -107,7 +107,7 @@
   for (const ConfigBlob& blob : message.value().blobs_) {
     if (ContentHash(blob.text_) != blob.hash_) {
       return Error{ ErrorKind::BadInput,
-                    "a content lacks its hash " + blob.hash_ };
+                    "a blob does not match its hash " + blob.hash_ };
     }
     content.blobs_[blob.hash_] = blob.text_;
   }
--- a/src/daemon/manifest.hpp
+++ b/src/daemon/manifest.hpp
@@ -1,5 +1,5 @@
-/// The accepted configuration as it stands in the store: immutable blobs by
-/// content hash, one manifest, and a log with a record of each revision.
+/// Stored form of the accepted configuration: immutable blobs by content
+/// hash, one manifest, and a log with one record per revision.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -7,13 +7,13 @@
 
 namespace marjoramtally {
 
-/// Keys in the store.
+/// Store keys.
 inline constexpr std::string_view kManifestKey =
   "/marjoramtally/config/manifest";
 inline constexpr std::string_view kBlobPrefix = "/marjoramtally/config/blob/";
 inline constexpr std::string_view kLogPrefix = "/marjoramtally/config/log/";
 
-/// @returns the key of a revision's record; keys sort as revisions do
+/// @returns the key of a revision's log record; keys sort by revision
 [[nodiscard]] std::string
 LogKey(ConfigRevision aRevision);
 [[nodiscard]] std::string
@@ -32,17 +32,18 @@
   std::map<std::string, std::string> blobs_;
 };
 
-/// One message for a file on disk or an export.
+/// Serializes a revision for the file on disk or for an export.
 [[nodiscard]] std::string
 FormatContent(const ConfigContent& aContent);
-/// @returns an error unless each content has its hash
+/// @returns an error if a blob does not match its hash
 [[nodiscard]] Result<ConfigContent>
 ParseContent(const std::string& aText);
-/// @returns the files with their contents; an error names what is missing
+/// @returns the files with their contents, or an error that names a missing
+/// file
 [[nodiscard]] Result<std::vector<RulesFile>>
 CollectFiles(const ConfigContent& aContent);
 
-/// @returns the SHA-256 of a text, in hexadecimal digits
+/// @returns the SHA-256 of a text as hexadecimal digits
 [[nodiscard]] std::string
 ContentHash(std::string_view aText);
 
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -9,6 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kMaxPort = 65535;
+/// Durations are bounded in microseconds.
 constexpr std::uint64_t kSecond = 1'000'000;
 
 using Settings = DaemonSettings;
@@ -52,7 +53,8 @@
     const SourcePlace place =
       section.empty() ? file : section.begin()->second.place_;
     if (name != "daemon") {
-      findings.Add(place, "[" + name + "] is not [daemon]");
+      findings.Add(place,
+                   "unknown section [" + name + "]; only [daemon] is allowed");
     }
   }
   const auto section = aDocument.find("daemon");
@@ -66,7 +68,7 @@
   if (!ParseLogLevel(settings.logLevel_)) {
     findings.Add(section->second.at("log-level").place_,
                  "[daemon] log-level = '" + settings.logLevel_ +
-                   "': none of debug, info, warn, error");
+                   "': must be one of debug, info, warn, error");
   }
   if (!findings.empty()) {
     return findings;
--- a/src/daemon/settings.hpp
+++ b/src/daemon/settings.hpp
@@ -13,50 +13,52 @@
 {
   std::string instance_;
   std::string zone_;
-  /// IP number that callers and peers reach.
+  /// IP address on which callers and peers reach this instance.
   std::string address_ = "127.0.0.1";
   std::uint64_t httpPort_ = 0;
   std::uint64_t rpcPort_ = 0;
-  /// Base URL of the platform's store, or `file:FOLDER` for the embedded one
-  /// that the processes of one machine share.
+  /// Base URL of the platform's store, or `file:FOLDER` for the embedded store
+  /// shared by the processes of one machine.
   std::string store_;
-  /// URL of the platform's list of instances; empty reads none.
+  /// URL of the platform's instance list; empty disables reading it.
   std::string instanceList_;
   Duration storeTimeout_ = std::chrono::seconds(2);
-  /// How long the store keeps this instance's lease without a heartbeat.
+  /// Time after which the store expires this instance's lease without a
+  /// keep-alive.
   Duration leaseTtl_ = std::chrono::seconds(10);
-  /// How often the store is read.
+  /// Period of store reads.
   Duration refresh_ = std::chrono::seconds(1);
-  /// From the stop signal on, time to be not ready but still accepting.
+  /// Time after the stop signal during which the instance reports not ready
+  /// but still accepts requests.
   Duration drainNotice_ = std::chrono::milliseconds(500);
-  /// Longest wait for requests in progress at shutdown.
+  /// Maximum wait for requests in progress at shutdown.
   Duration drainLimit_ = std::chrono::minutes(20);
-  /// How long an idempotency key is remembered.
+  /// Retention period of idempotency keys.
   Duration claimWindow_ = std::chrono::hours(24);
   std::uint64_t maxBodyBytes_ = 1U << 20U;
   std::uint64_t threads_ = 2;
-  /// File with the keys shared by all instances, one a line; the first
-  /// signs. Empty: calls between instances carry no proof.
+  /// File with the keys shared by all instances, one per line; the first key
+  /// signs. Empty: calls between instances are not authenticated.
   std::string peerKeyFile_;
-  /// Spans are appended here; empty writes none.
+  /// File to which trace spans are appended; empty disables tracing.
   std::string traceFile_;
-  /// Folder for bulk data; empty keeps nothing on disk.
+  /// Folder for bulk data; empty disables storage on disk.
   std::string dataDir_;
-  /// Most bytes of samples kept in the folder.
+  /// Maximum bytes of samples in the data folder.
   std::uint64_t dataBytes_ = 256U << 20U;
-  /// The bound ports are written here; empty writes none.
+  /// File to which the HTTP address is written; empty disables it.
   std::string portFile_;
   std::string logLevel_ = "info";
 };
 
-/// Reads `[daemon]`; other sections are findings.
+/// Reads `[daemon]`; other sections are reported as findings.
 [[nodiscard]] Checked<DaemonSettings>
 ReadDaemonSettings(const std::string& aFile, const IniDocument& aDocument);
 
 /// Parses the command line and loads the settings, reporting all findings
 /// to standard error.
 /// @param aPurpose what the daemon does, for `--help`
-/// @returns nothing if the program is done; then `aExitCode` is set
+/// @returns nothing if the program is to exit; `aExitCode` is then set
 [[nodiscard]] std::optional<DaemonSettings>
 StartDaemon(int aArgc,
             char** aArgv,
--- a/src/daemon/status_page.cpp
+++ b/src/daemon/status_page.cpp
@@ -54,7 +54,7 @@
          "</td></tr>";
 }
 
-/// A headed table; says "none" where there are no rows.
+/// Renders a table with a heading, or "none" if there are no rows.
 std::string
 Section(std::string_view aTitle, const std::string& aRows)
 {
--- a/src/daemon/status_page.hpp
+++ b/src/daemon/status_page.hpp
@@ -1,4 +1,4 @@
-/// What an instance says of itself to operators: JSON and a small page.
+/// Status of an instance for operators, as JSON and as an HTML page.
 #pragma once
 
 #include "daemon/cluster.hpp"
@@ -6,22 +6,22 @@
 
 namespace marjoramtally {
 
-/// Everything that the page shows.
+/// Data shown on the status page.
 struct InstanceStatus
 {
   InstanceRecord self_;
   ClusterViewPtr view_;
   ConfigStatus config_;
   bool ready_ = false;
-  /// Why it is not ready; empty if it is.
+  /// Why the instance is not ready; empty if it is.
   std::string notReady_;
 };
 
-/// @returns the status for programs
+/// @returns the status as JSON
 [[nodiscard]] std::string
 RenderStatusJson(const InstanceStatus& aStatus);
 
-/// @returns a page that reads well on a phone's screen
+/// @returns an HTML page that is readable on a phone
 [[nodiscard]] std::string
 RenderStatusPage(const InstanceStatus& aStatus);
 
--- a/tests/log_capture.hpp
+++ b/tests/log_capture.hpp
@@ -1,4 +1,4 @@
-/// What is logged while a test runs.
+/// Captures log output during a test.
 #pragma once
 
 #include "marjoramtally/runtime/log.hpp"
@@ -10,7 +10,8 @@
 
 namespace marjoramtally::test {
 
-/// Takes the lines of all events of `Info` and above while it lives.
+/// Captures the lines of all events of level `Info` and above for its
+/// lifetime.
 class LogCapture
 {
 public:
@@ -32,7 +33,7 @@
   LogCapture(const LogCapture&) = delete;
   LogCapture& operator=(const LogCapture&) = delete;
 
-  /// @returns the lines so far
+  /// @returns the lines captured so far
   [[nodiscard]] std::string Lines() const
   {
     std::string lines;
--- a/tests/test_access.cpp
+++ b/tests/test_access.cpp
@@ -42,9 +42,9 @@
   CHECK(receiver.Accept(call, RpcStamp{}, kNow) == RpcVerdict::BadMac);
 }
 
-TEST_CASE("a replay is refused for as long as its time is in the window")
+TEST_CASE("a replay is refused while its time stamp is in the window")
 {
-  // The sender's clock is a whole window ahead.
+  // The sender's clock is ahead by the full window.
   RpcMac mac({ "key" });
   const RpcSigned call{ 4, "a", "b" };
   const RpcStamp stamp = mac.Stamp(call, kNow + kRpcWindowMillis, 1);
@@ -55,7 +55,7 @@
         RpcVerdict::OutOfTime);
 }
 
-TEST_CASE("an answer belongs to its call")
+TEST_CASE("a reply signature is valid only for its call")
 {
   const RpcMac mac({ "key" });
   const RpcSigned call{ 4, "a", "b" };
@@ -68,7 +68,7 @@
   CHECK_FALSE(mac.VerifyReply(first, 0, "other", proof));
 }
 
-TEST_CASE("tokens are needed where the rules hold their hash")
+TEST_CASE("a token is required if the rules contain its hash")
 {
   const auto merged = MergeRulesFiles(
     { { "10.ini",
@@ -92,7 +92,7 @@
   CHECK_FALSE(CheckOperatorAccess(Rules{}, {}));
 }
 
-TEST_CASE("a token in place of its hash is a finding that does not repeat it")
+TEST_CASE("a token in place of its hash is a finding that does not contain it")
 {
   const auto merged =
     MergeRulesFiles({ { "10.ini", "[operator k]\ntoken-sha256 = hunter2\n" } });
--- a/tests/test_cluster.cpp
+++ b/tests/test_cluster.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Answers at once from memory, or cannot be reached.
+/// Answers immediately from memory, or fails as unreachable.
 class FakeStore final : public Store
 {
 public:
@@ -77,7 +77,7 @@
   return member;
 }
 
-/// A cluster whose timers are stopped, so that only the test acts.
+/// A cluster with stopped timers, driven by the test alone.
 struct ManualCluster
 {
   ManualCluster()
@@ -100,7 +100,7 @@
 
 } // namespace
 
-TEST_CASE("a zone cut off from the store keeps owners, versions, instances")
+TEST_CASE("a zone without access to the store keeps its view")
 {
   ManualCluster fixture;
   fixture.store_.down_ = true;
@@ -110,13 +110,13 @@
   CHECK(view->versions_.at("m") == WeightVersion{ 7 });
   CHECK(view->instances_.size() == 2);
   CHECK(fixture.cluster_.Lease() == 7);
-  // Members of other zones are gone; what the store said stays.
+  // Members of other zones disappear; records from the store remain.
   fixture.cluster_.SetMembers({ MakeMember("entry-1") });
   CHECK(fixture.cluster_.View()->instances_.size() == 1);
   CHECK(fixture.cluster_.View()->owners_.contains("trainer/a"));
 }
 
-TEST_CASE("on rejoin an older store reverts nothing, a newer one counts")
+TEST_CASE("an older store state reverts nothing, a newer one is applied")
 {
   ManualCluster fixture;
   const FakeStore before = fixture.store_;
@@ -141,11 +141,10 @@
   CHECK(fixture.cluster_.View()->rules_->revision_ == ConfigRevision{ 4 });
 }
 
-// An engine was ordered from a trainer's work to live callers and back. The
-// order: the record of its service's roles was written in a form that could not
-// be read. Cause: roles that cannot be read counted as no roles, by which each
-// engine has its rule's role.
-TEST_CASE("roles that cannot be read leave the last known in force")
+// Guards against engines being ordered to another role when a role record is
+// unreadable. If such a record counted as absent, each engine would fall back
+// to the role in its rule, for example from a trainer to live callers and back.
+TEST_CASE("an unreadable role record keeps the last known roles")
 {
   ManualCluster fixture;
   const UpstreamId engine{ "e" };
@@ -160,7 +159,7 @@
   fixture.store_.Put(kRolePrefix, "lm", R"({"e":"live"})");
   fixture.cluster_.Refresh();
   REQUIRE(fixture.cluster_.View()->roles_.at(engine) == "live");
-  // A record that is gone is known to be gone.
+  // A deleted record, unlike an unreadable one, removes the role.
   fixture.store_.records_.clear();
   ++fixture.store_.revision_;
   fixture.cluster_.Refresh();
