--- a/src/programs/controld/allocation_service.cpp
+++ b/src/programs/controld/allocation_service.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr auto kPeriod = std::chrono::seconds(1);
+constexpr auto kRoundPeriod = std::chrono::seconds(1);
 /// Engines whose load is read in a round, however many there are.
-constexpr std::size_t kSample = 20;
+constexpr std::size_t kMaxSampledEngines = 20;
 
 std::vector<UpstreamId>
 EnginesOf(const ClusterView& aView, const ServiceRule& aRule)
@@ -58,7 +58,7 @@
 void
 AllocationService::Start()
 {
-  host_.TimerQueue().Every(kPeriod, [this] { Tick(); });
+  host_.TimerQueue().Every(kRoundPeriod, [this] { Tick(); });
 }
 
 void
@@ -73,7 +73,7 @@
       "allocation/" + id.Get(),
       [this, view, service = rule](const Result<Ownership>& aOwned) {
         if (aOwned && aOwned.value().mine_) {
-          Run(view, service, aOwned.value().term_);
+          RunService(view, service, aOwned.value().term_);
         } else {
           const std::lock_guard lock(mutex_);
           pools_.erase(service.id_);
@@ -83,9 +83,9 @@
 }
 
 void
-AllocationService::Run(const ClusterViewPtr& aView,
-                       const ServiceRule& aRule,
-                       FencingNumber aTerm)
+AllocationService::RunService(const ClusterViewPtr& aView,
+                              const ServiceRule& aRule,
+                              FencingNumber aTerm)
 {
   {
     const std::lock_guard lock(mutex_);
@@ -98,7 +98,7 @@
       pool.reading_ = false;
     }
     if (pool.adopted_) {
-      Round(*aView, aRule, pool);
+      RunRound(*aView, aRule, pool);
       return;
     }
     if (std::exchange(pool.reading_, true)) {
@@ -133,18 +133,18 @@
                    { "error", aRoles.error().message_ } });
         return;
       }
-      Adopt(aRoles.value(), key, pool);
+      AdoptRoles(aRoles.value(), key, pool);
       pool.adopted_ = true;
-      Round(*aView, aRule, pool);
+      RunRound(*aView, aRule, pool);
     });
 }
 
 void
-AllocationService::Round(const ClusterView& aView,
-                         const ServiceRule& aRule,
-                         Pool& aPool)
+AllocationService::RunRound(const ClusterView& aView,
+                            const ServiceRule& aRule,
+                            Pool& aPool)
 {
-  TakeDemand(aPool);
+  ApplyDemand(aPool);
   for (const EngineMove& move : aPool.allocation_.Decide(host_.Now())) {
     LogEvent(LogLevel::Info,
              "engine_moved",
@@ -155,14 +155,14 @@
     host_.Measures().Count("engine_moves{urgent=\"" +
                            std::string(move.urgent_ ? "yes" : "no") + "\"}");
   }
-  Publish(aRule.id_, aPool);
-  Sample(aView, aRule);
+  PublishRoles(aRule.id_, aPool);
+  SampleLoads(aView, aRule);
 }
 
 void
-AllocationService::Adopt(const StoreRange& aRoles,
-                         const std::string& aKey,
-                         Pool& aPool)
+AllocationService::AdoptRoles(const StoreRange& aRoles,
+                              const std::string& aKey,
+                              Pool& aPool)
 {
   for (const StoreRecord& record : aRoles.records_) {
     if (record.key_ != aKey) {
@@ -184,52 +184,53 @@
 }
 
 void
-AllocationService::TakeDemand(Pool& aPool)
+AllocationService::ApplyDemand(Pool& aPool)
 {
-  for (const auto& [user, load] : aPool.sampled_) {
+  for (const auto& [user, load] : aPool.sampledLoads_) {
     const auto held = static_cast<double>(aPool.allocation_.Held(user));
     aPool.allocation_.OnDemand(
       user, held * load.first / static_cast<double>(load.second), host_.Now());
   }
-  aPool.sampled_.clear();
+  aPool.sampledLoads_.clear();
 }
 
 void
-AllocationService::Sample(const ClusterView& aView, const ServiceRule& aRule)
+AllocationService::SampleLoads(const ClusterView& aView,
+                               const ServiceRule& aRule)
 {
   std::vector<UpstreamId> engines = EnginesOf(aView, aRule);
-  const std::size_t count = std::min(kSample, engines.size());
+  const std::size_t count = std::min(kMaxSampledEngines, engines.size());
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(engines[i], engines[i + random_.Below(engines.size() - i)]);
-    sender_.Read(engines[i],
-                 [this,
-                  service = aRule.id_,
-                  limit = aRule.upstreamLimit_,
-                  id = engines[i]](const std::optional<UpstreamState>& aState) {
-                   const std::lock_guard lock(mutex_);
-                   const auto pool = pools_.find(service);
-                   if (!aState || pool == pools_.end()) {
-                     return;
-                   }
-                   auto& load =
-                     pool->second.sampled_[pool->second.allocation_.UserOf(id)];
-                   load.first +=
-                     static_cast<double>(aState->running_ + aState->queued_) /
-                     static_cast<double>(limit);
-                   ++load.second;
-                 });
+    sender_.Read(
+      engines[i],
+      [this,
+       service = aRule.id_,
+       limit = aRule.upstreamLimit_,
+       id = engines[i]](const std::optional<UpstreamState>& aState) {
+        const std::lock_guard lock(mutex_);
+        const auto pool = pools_.find(service);
+        if (!aState || pool == pools_.end()) {
+          return;
+        }
+        auto& load =
+          pool->second.sampledLoads_[pool->second.allocation_.UserOf(id)];
+        load.first += static_cast<double>(aState->running_ + aState->queued_) /
+                      static_cast<double>(limit);
+        ++load.second;
+      });
   }
 }
 
 void
-AllocationService::Publish(const ServiceId& aService, Pool& aPool)
+AllocationService::PublishRoles(const ServiceId& aService, Pool& aPool)
 {
   nlohmann::json roles = nlohmann::json::object();
   for (const auto& [engine, user] : aPool.allocation_.Assigned()) {
     roles[engine.Get()] = user.Get();
   }
   const std::string text = roles.dump();
-  if (aPool.writing_ || text == aPool.published_) {
+  if (aPool.writing_ || text == aPool.publishedRoles_) {
     return;
   }
   aPool.writing_ = true;
@@ -248,7 +249,7 @@
       }
       pool->second.writing_ = false;
       if (aCommit && aCommit.value().applied_) {
-        pool->second.published_ = text;
+        pool->second.publishedRoles_ = text;
       }
     });
 }
--- a/src/programs/controld/allocation_service.hpp
+++ b/src/programs/controld/allocation_service.hpp
@@ -26,28 +26,30 @@
     bool adopted_ = false;
     bool reading_ = false;
     /// Sum and number of the loads sampled in this round, by user.
-    std::map<EngineUserId, std::pair<double, std::uint64_t>> sampled_;
+    std::map<EngineUserId, std::pair<double, std::uint64_t>> sampledLoads_;
     bool writing_ = false;
     /// The roles published last.
-    std::string published_;
+    std::string publishedRoles_;
   };
 
-  void Run(const ClusterViewPtr& aView,
-           const ServiceRule& aRule,
-           FencingNumber aTerm);
+  void RunService(const ClusterViewPtr& aView,
+                  const ServiceRule& aRule,
+                  FencingNumber aTerm);
   /// One round of an allocation that is known.
-  void Round(const ClusterView& aView, const ServiceRule& aRule, Pool& aPool);
+  void RunRound(const ClusterView& aView,
+                const ServiceRule& aRule,
+                Pool& aPool);
   /// Reads what was published last, then goes on with the round.
   void ReadRoles(const ClusterViewPtr& aView,
                  const ServiceRule& aRule,
                  FencingNumber aTerm);
   /// Takes over what the last owner published.
-  static void Adopt(const StoreRange& aRoles,
-                    const std::string& aKey,
-                    Pool& aPool);
-  void TakeDemand(Pool& aPool);
-  void Sample(const ClusterView& aView, const ServiceRule& aRule);
-  void Publish(const ServiceId& aService, Pool& aPool);
+  static void AdoptRoles(const StoreRange& aRoles,
+                         const std::string& aKey,
+                         Pool& aPool);
+  void ApplyDemand(Pool& aPool);
+  void SampleLoads(const ClusterView& aView, const ServiceRule& aRule);
+  void PublishRoles(const ServiceId& aService, Pool& aPool);
 
   Host& host_;
   Owners& owners_;
--- a/src/programs/controld/candidate_source.cpp
+++ b/src/programs/controld/candidate_source.cpp
@@ -9,20 +9,20 @@
 constexpr auto kGenerateTimeout = std::chrono::minutes(5);
 constexpr auto kScoreTimeout = std::chrono::seconds(10);
 /// Pauses between tries of a scorer.
-constexpr auto kFirstScorePause = std::chrono::milliseconds(50);
-constexpr auto kLongestScorePause = std::chrono::seconds(5);
+constexpr auto kInitialScoreBackoff = std::chrono::milliseconds(50);
+constexpr auto kMaxScoreBackoff = std::chrono::seconds(5);
 
 GenerateRequest
-MakeRequest(const CandidateOrder& aOrder)
+MakeRequest(const CandidateRequest& aRequest)
 {
   GenerateRequest request;
-  request.trainer_ = aOrder.rule_.id_;
-  request.service_ = ServiceId{ aOrder.rule_.service_ };
-  request.model_ = aOrder.rule_.model_;
-  request.sample_ = aOrder.sample_;
-  request.minVersion_ = aOrder.least_;
-  request.maxTokens_ = aOrder.maxTokens_;
-  request.prompt_ = aOrder.prompt_;
+  request.trainer_ = aRequest.rule_.id_;
+  request.service_ = ServiceId{ aRequest.rule_.service_ };
+  request.model_ = aRequest.rule_.model_;
+  request.sample_ = aRequest.sample_;
+  request.minVersion_ = aRequest.minVersion_;
+  request.maxTokens_ = aRequest.maxTokens_;
+  request.prompt_ = aRequest.prompt_;
   return request;
 }
 
@@ -66,15 +66,15 @@
 std::optional<std::string>
 CandidateSource::ChooseEntry()
 {
-  std::vector<std::string> near;
-  std::vector<std::string> far;
+  std::vector<std::string> local;
+  std::vector<std::string> remote;
   for (const auto& [id, instance] : host_.ClusterState().View()->instances_) {
     if (instance.role_ == "entry") {
       const bool same = instance.zone_.Get() == host_.Settings().zone_;
-      (same ? near : far).push_back(instance.rpc_);
+      (same ? local : remote).push_back(instance.rpc_);
     }
   }
-  const auto& choices = near.empty() ? far : near;
+  const auto& choices = local.empty() ? remote : local;
   if (choices.empty()) {
     return std::nullopt;
   }
@@ -82,7 +82,7 @@
 }
 
 void
-CandidateSource::Make(const CandidateOrder& aOrder, CandidateEvents aEvents)
+CandidateSource::Make(const CandidateRequest& aRequest, CandidateEvents aEvents)
 {
   const auto entry = ChooseEntry();
   if (!entry) {
@@ -94,18 +94,18 @@
   RpcCall call;
   call.topic_ = RpcTopic::Generate;
   call.timeout_ = kGenerateTimeout;
-  call.traceparent_ = aOrder.trace_;
-  call.body_ = Encode(MakeRequest(aOrder));
+  call.traceparent_ = aRequest.trace_;
+  call.body_ = Encode(MakeRequest(aRequest));
   host_.Rpc().Call(*entry,
                    std::move(call),
-                   [this, order = aOrder, events = std::move(aEvents)](
-                     RpcReply aReply) { TakeReply(order, events, aReply); });
+                   [this, candidate = aRequest, events = std::move(aEvents)](
+                     RpcReply aReply) { OnReply(candidate, events, aReply); });
 }
 
 void
-CandidateSource::TakeReply(const CandidateOrder& aOrder,
-                           CandidateEvents aEvents,
-                           const RpcReply& aReply)
+CandidateSource::OnReply(const CandidateRequest& aRequest,
+                         CandidateEvents aEvents,
+                         const RpcReply& aReply)
 {
   auto reply = aReply ? DecodeGenerateReply(aReply.value())
                       : Result<GenerateReply>(aReply.error());
@@ -113,19 +113,19 @@
     aEvents.done_(reply.error());
     return;
   }
-  Sample sample = MakeSample(aOrder.sample_, std::move(reply).value());
-  if (aOrder.rule_.scorer_.empty()) {
+  Sample sample = MakeSample(aRequest.sample_, std::move(reply).value());
+  if (aRequest.rule_.scorer_.empty()) {
     aEvents.done_(std::move(sample));
     return;
   }
   aEvents.scoring_();
-  const nlohmann::json body{ { "prompt", aOrder.prompt_ },
+  const nlohmann::json body{ { "prompt", aRequest.prompt_ },
                              { "text", sample.text_ } };
   Score(std::make_shared<Scoring>(Scoring{
     std::move(sample),
-    aOrder.rule_.scorer_,
+    aRequest.rule_.scorer_,
     body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
-    Backoff(kFirstScorePause, kLongestScorePause, SeedOf(aOrder.sample_)),
+    Backoff(kInitialScoreBackoff, kMaxScoreBackoff, SeedOf(aRequest.sample_)),
     std::move(aEvents),
   }));
 }
@@ -140,17 +140,16 @@
   call.timeout_ = kScoreTimeout;
   host_.Http().Send(std::move(call),
                     [this, aScoring](const HttpResult& aResult) {
-                      TakeScore(aScoring, aResult);
+                      OnScore(aScoring, aResult);
                     });
 }
 
 void
-CandidateSource::TakeScore(const ScoringPtr& aScoring,
-                           const HttpResult& aResult)
+CandidateSource::OnScore(const ScoringPtr& aScoring, const HttpResult& aResult)
 {
   const auto reward = ReadReward(aResult);
   if (!reward) {
-    ScoreLater(aScoring, aResult);
+    RetryScoreLater(aScoring, aResult);
     return;
   }
   aScoring->sample_.reward_ = *reward;
@@ -158,15 +157,15 @@
 }
 
 void
-CandidateSource::ScoreLater(const ScoringPtr& aScoring,
-                            const HttpResult& aResult)
+CandidateSource::RetryScoreLater(const ScoringPtr& aScoring,
+                                 const HttpResult& aResult)
 {
   LogEvent(LogLevel::Warn,
            "scoring_failed",
            { { "scorer", aScoring->scorer_ },
              { "status", std::to_string(aResult.response_.status_) },
              { "error", aResult.message_ } });
-  host_.TimerQueue().After(aScoring->pauses_.Next(), [this, aScoring] {
+  host_.TimerQueue().After(aScoring->backoff_.Next(), [this, aScoring] {
     if (aScoring->events_.stillWanted_(aScoring->sample_)) {
       Score(aScoring);
     } else {
--- a/src/programs/controld/candidate_source.hpp
+++ b/src/programs/controld/candidate_source.hpp
@@ -8,12 +8,12 @@
 namespace marjoramtally {
 
 /// One candidate to make.
-struct CandidateOrder
+struct CandidateRequest
 {
   TrainerRule rule_;
   SampleId sample_;
   /// The oldest version that may generate it.
-  WeightVersion least_;
+  WeightVersion minVersion_;
   std::uint32_t maxTokens_ = 0;
   std::string prompt_;
   /// W3C trace context.
@@ -41,7 +41,7 @@
   {
   }
 
-  void Make(const CandidateOrder& aOrder, CandidateEvents aEvents);
+  void Make(const CandidateRequest& aRequest, CandidateEvents aEvents);
 
 private:
   struct Scoring
@@ -49,17 +49,17 @@
     Sample sample_;
     std::string scorer_;
     std::string body_;
-    Backoff pauses_;
+    Backoff backoff_;
     CandidateEvents events_;
   };
   using ScoringPtr = std::shared_ptr<Scoring>;
 
-  void TakeReply(const CandidateOrder& aOrder,
-                 CandidateEvents aEvents,
-                 const RpcReply& aReply);
+  void OnReply(const CandidateRequest& aRequest,
+               CandidateEvents aEvents,
+               const RpcReply& aReply);
   void Score(const ScoringPtr& aScoring);
-  void TakeScore(const ScoringPtr& aScoring, const HttpResult& aResult);
-  void ScoreLater(const ScoringPtr& aScoring, const HttpResult& aResult);
+  void OnScore(const ScoringPtr& aScoring, const HttpResult& aResult);
+  void RetryScoreLater(const ScoringPtr& aScoring, const HttpResult& aResult);
   [[nodiscard]] std::optional<std::string> ChooseEntry();
 
   Host& host_;
--- a/src/programs/controld/order_sender.cpp
+++ b/src/programs/controld/order_sender.cpp
@@ -77,7 +77,7 @@
 }
 
 OrderEnd
-ClassifyWhole(const HttpResponse& aResponse)
+ClassifyResponse(const HttpResponse& aResponse)
 {
   if (aResponse.status_ == kOk) {
     return OrderEnd::Done;
@@ -85,8 +85,8 @@
   if (aResponse.status_ == kConflict) {
     return OrderEnd::Refused;
   }
-  const bool store = aResponse.body_.find(kLoadFailed) != std::string::npos;
-  return store ? OrderEnd::StoreBusy : OrderEnd::Failed;
+  const bool storeBusy = aResponse.body_.find(kLoadFailed) != std::string::npos;
+  return storeBusy ? OrderEnd::StoreBusy : OrderEnd::Failed;
 }
 
 OrderEnd
@@ -94,7 +94,7 @@
 {
   switch (aResult.end_) {
     case HttpEnd::Whole:
-      return ClassifyWhole(aResult.response_);
+      return ClassifyResponse(aResult.response_);
     case HttpEnd::NotSent:
       return OrderEnd::NotSent;
     default:
@@ -103,7 +103,7 @@
 }
 
 void
-LogEnd(const SendOrder& aOrder, OrderEnd aEnd, const std::string& aDetail)
+LogOutcome(const SendOrder& aOrder, OrderEnd aEnd, const std::string& aDetail)
 {
   const bool done = aEnd == OrderEnd::Done;
   LogEvent(done ? LogLevel::Info : LogLevel::Warn,
@@ -136,9 +136,9 @@
   call.timeout_ = kReadTimeout;
   host_.Http().Send(
     std::move(call), [done = std::move(aDone)](const HttpResult& aResult) {
-      const bool whole =
+      const bool ok =
         aResult.end_ == HttpEnd::Whole && aResult.response_.status_ == kOk;
-      done(whole ? ParseState(aResult.response_.body_) : std::nullopt);
+      done(ok ? ParseState(aResult.response_.body_) : std::nullopt);
     });
 }
 
@@ -153,7 +153,7 @@
   // The client must not send it a second time on its own.
   call.atMostOnce_ = true;
   if (host_.Now() > aOrder.sendBy_) {
-    LogEnd(aOrder, OrderEnd::NotSent, "the lease ends too soon");
+    LogOutcome(aOrder, OrderEnd::NotSent, "the lease ends too soon");
     aDone(OrderEnd::NotSent);
     return;
   }
@@ -161,7 +161,7 @@
     std::move(call),
     [aOrder, done = std::move(aDone)](const HttpResult& aResult) {
       const OrderEnd end = Classify(aResult);
-      LogEnd(aOrder, end, aResult.message_ + aResult.response_.body_);
+      LogOutcome(aOrder, end, aResult.message_ + aResult.response_.body_);
       done(end);
     });
 }
--- a/src/programs/controld/order_service.cpp
+++ b/src/programs/controld/order_service.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr auto kTick = std::chrono::milliseconds(20);
-constexpr auto kSurveyPeriod = std::chrono::milliseconds(200);
+constexpr auto kSyncPeriod = std::chrono::milliseconds(200);
 /// Before a claim that does not show in the view yet is made again.
-constexpr auto kClaimPause = std::chrono::seconds(2);
+constexpr auto kClaimRetryDelay = std::chrono::seconds(2);
 /// Claims that may be open at once, so that a start does not flood the store.
-constexpr std::size_t kMostClaims = 16;
+constexpr std::size_t kMaxOpenClaims = 16;
 /// How long another instance is preferred before it is given an upstream.
-constexpr auto kHandOverHold = std::chrono::seconds(10);
+constexpr auto kHandOverDelay = std::chrono::seconds(10);
 /// How long a larger share of switch slots has to stand; longer than views
 /// of the cluster differ.
-constexpr auto kShareHold = std::chrono::seconds(2);
+constexpr auto kShareIncreaseDelay = std::chrono::seconds(2);
 constexpr std::string_view kEngineKind = "engine";
 
 std::string
@@ -66,9 +66,9 @@
     const std::lock_guard lock(mutex_);
     const TimePoint now = host_.Now();
     rollout_.OnLease(host_.ClusterState().LeaseUntil());
-    if (now >= nextSurvey_) {
-      nextSurvey_ = now + kSurveyPeriod;
-      Survey(*view);
+    if (now >= nextSync_) {
+      nextSync_ = now + kSyncPeriod;
+      SyncWithView(*view);
     }
     actions = rollout_.Decide(now);
   }
@@ -78,7 +78,7 @@
 }
 
 void
-OrderService::Survey(const ClusterView& aView)
+OrderService::SyncWithView(const ClusterView& aView)
 {
   const StoreLeaseId lease = host_.ClusterState().Lease();
   // Without a lease we stay owners by the numbers that we have shown; what
@@ -89,13 +89,13 @@
       rollout_.OnLost(id);
     }
     lease_ = lease;
-    claims_.clear();
+    claimRetryAt_.clear();
   }
   const ServiceMap services = CollectServices(aView);
   SetPolicy(aView);
   for (const auto& [id, rule] : aView.rules_->upstreams_) {
     if (IsOrdered(aView, rule)) {
-      Place(aView, services.at(ServiceId{ rule.service_ }), rule);
+      UpdateOwnership(aView, services.at(ServiceId{ rule.service_ }), rule);
     } else {
       rollout_.OnLost(id);
     }
@@ -122,7 +122,7 @@
     service.zones_.insert(ZoneId{ rule.zone_ });
     const OwnerRecord* owner = OwnerOf(aView, id);
     if (owner != nullptr) {
-      service.present_.insert(owner->owner_);
+      service.currentOwners_.insert(owner->owner_);
     }
   }
   for (auto& [id, service] : services) {
@@ -163,18 +163,19 @@
 {
   const InstanceId& self = host_.ClusterState().Self().id_;
   for (const auto& [id, service] : aServices) {
-    const auto place = std::distance(service.present_.begin(),
-                                     service.present_.lower_bound(self));
-    const bool present = service.present_.contains(self);
-    const std::uint64_t share = present
+    const auto index = std::distance(service.currentOwners_.begin(),
+                                     service.currentOwners_.lower_bound(self));
+    const bool isOwner = service.currentOwners_.contains(self);
+    const std::uint64_t share = isOwner
                                   ? SlotShare(service.slots_,
-                                              service.present_.size(),
-                                              static_cast<std::uint64_t>(place))
+                                              service.currentOwners_.size(),
+                                              static_cast<std::uint64_t>(index))
                                   : 0;
     ServiceGoal goal;
     goal.drain_ = aView.rules_->services_.at(id).drain_;
-    goal.switchSlots_ = shares_.try_emplace(id, SteadyShare(kShareHold))
-                          .first->second.Update(share, host_.Now());
+    goal.switchSlots_ =
+      shares_.try_emplace(id, SteadyShare(kShareIncreaseDelay))
+        .first->second.Update(share, host_.Now());
     for (const auto& [name, trainer] : aView.rules_->trainers_) {
       const auto version = aView.versions_.find(trainer.model_);
       if (trainer.service_ == id.Get() && version != aView.versions_.end()) {
@@ -186,16 +187,16 @@
 }
 
 void
-OrderService::Place(const ClusterView& aView,
-                    const ServiceOwners& aService,
-                    const UpstreamRule& aRule)
+OrderService::UpdateOwnership(const ClusterView& aView,
+                              const ServiceOwners& aService,
+                              const UpstreamRule& aRule)
 {
   const InstanceId& self = host_.ClusterState().Self().id_;
   const OwnerRecord* owner = OwnerOf(aView, aRule.id_);
   const bool preferred = PreferredFor(aView, aService, aRule) == self;
   if (owner != nullptr && owner->owner_ != self) {
     rollout_.OnLost(aRule.id_);
-    claims_.erase(aRule.id_);
+    claimRetryAt_.erase(aRule.id_);
     return;
   }
   if (owner == nullptr) {
@@ -212,9 +213,9 @@
                    owner->term_,
                    host_.Now());
   rollout_.SetRole(aRule.id_, RoleFor(aView, aRule));
-  claims_.erase(aRule.id_);
+  claimRetryAt_.erase(aRule.id_);
   if (preferred) {
-    misplaced_.erase(aRule.id_);
+    preferredElsewhere_.erase(aRule.id_);
   } else {
     HandOver(aRule.id_, owner->term_);
   }
@@ -225,7 +226,7 @@
                            const ServiceOwners& aService,
                            const UpstreamRule& aRule) const
 {
-  std::vector<InstanceId> near;
+  std::vector<InstanceId> local;
   std::vector<InstanceId> all;
   for (const auto& [id, instance] : aView.instances_) {
     if (instance.role_ != "control") {
@@ -233,15 +234,16 @@
     }
     all.push_back(id);
     if (instance.zone_.Get() == aRule.zone_) {
-      near.push_back(id);
+      local.push_back(id);
     }
   }
   // No more owners than switch slots: each has to have one at least.
   const std::uint64_t zones = aService.zones_.size();
-  const bool byZone = !near.empty() && aService.slots_ >= zones;
-  const std::uint64_t most = byZone ? aService.slots_ / zones : aService.slots_;
+  const bool byZone = !local.empty() && aService.slots_ >= zones;
+  const std::uint64_t maxOwners =
+    byZone ? aService.slots_ / zones : aService.slots_;
   const auto owners =
-    ChooseOwners(ServiceId{ aRule.service_ }, byZone ? near : all, most);
+    ChooseOwners(ServiceId{ aRule.service_ }, byZone ? local : all, maxOwners);
   return PreferredOwner(aRule.id_, owners);
 }
 
@@ -259,16 +261,16 @@
 OrderService::Claim(const UpstreamRule& aRule)
 {
   const TimePoint now = host_.Now();
-  const auto claimed = claims_.find(aRule.id_);
-  const bool waiting = claimed != claims_.end() && now < claimed->second;
+  const auto claimed = claimRetryAt_.find(aRule.id_);
+  const bool waiting = claimed != claimRetryAt_.end() && now < claimed->second;
   const auto open =
-    std::count_if(claims_.begin(), claims_.end(), [now](const auto& aClaim) {
-      return now < aClaim.second;
-    });
-  if (waiting || static_cast<std::size_t>(open) >= kMostClaims) {
+    std::count_if(claimRetryAt_.begin(),
+                  claimRetryAt_.end(),
+                  [now](const auto& aClaim) { return now < aClaim.second; });
+  if (waiting || static_cast<std::size_t>(open) >= kMaxOpenClaims) {
     return;
   }
-  claims_[aRule.id_] = now + kClaimPause;
+  claimRetryAt_[aRule.id_] = now + kClaimRetryDelay;
   // Its outcome shows in the view, with the lease that it hangs on.
   owners_.Acquire(DutyOf(aRule.id_), [](const Result<Ownership>&) {});
 }
@@ -277,11 +279,12 @@
 OrderService::HandOver(const UpstreamId& aUpstream, FencingNumber aTerm)
 {
   const TimePoint now = host_.Now();
-  const auto since = misplaced_.try_emplace(aUpstream, now).first->second;
-  if (now - since < kHandOverHold || !rollout_.Idle(aUpstream)) {
+  const auto since =
+    preferredElsewhere_.try_emplace(aUpstream, now).first->second;
+  if (now - since < kHandOverDelay || !rollout_.Idle(aUpstream)) {
     return;
   }
-  misplaced_.erase(aUpstream);
+  preferredElsewhere_.erase(aUpstream);
   rollout_.OnLost(aUpstream);
   const std::string key = std::string(kOwnerPrefix) + DutyOf(aUpstream);
   StoreTxn txn;
@@ -300,7 +303,7 @@
 OrderService::Perform(const RolloutAction& aAction)
 {
   if (const auto* notice = std::get_if<RolloutNotice>(&aAction)) {
-    Note(*notice);
+    LogNotice(*notice);
     return;
   }
   if (const auto* order = std::get_if<SendOrder>(&aAction)) {
@@ -311,19 +314,20 @@
     return;
   }
   const UpstreamId id = std::get<ReadState>(aAction).upstream_;
-  const TimePoint askedAt = host_.Now();
-  sender_.Read(id, [this, id, askedAt](std::optional<UpstreamState> aState) {
-    const std::lock_guard lock(mutex_);
-    if (aState) {
-      rollout_.OnState(id, std::move(*aState), askedAt, host_.Now());
-    } else {
-      rollout_.OnUnreadable(id, host_.Now());
-    }
-  });
+  const TimePoint requestedAt = host_.Now();
+  sender_.Read(
+    id, [this, id, requestedAt](std::optional<UpstreamState> aState) {
+      const std::lock_guard lock(mutex_);
+      if (aState) {
+        rollout_.OnState(id, std::move(*aState), requestedAt, host_.Now());
+      } else {
+        rollout_.OnUnreadable(id, host_.Now());
+      }
+    });
 }
 
 void
-OrderService::Note(const RolloutNotice& aNotice)
+OrderService::LogNotice(const RolloutNotice& aNotice)
 {
   const bool good = aNotice.kind_ == RolloutNoticeKind::Settled ||
                     aNotice.kind_ == RolloutNoticeKind::BackInRotation;
--- a/src/programs/controld/order_service.hpp
+++ b/src/programs/controld/order_service.hpp
@@ -22,21 +22,21 @@
     std::uint64_t upstreams_ = 0;
     std::set<ZoneId> zones_;
     /// Present owners.
-    std::set<InstanceId> present_;
+    std::set<InstanceId> currentOwners_;
     std::uint64_t slots_ = 0;
   };
   using ServiceMap = std::map<ServiceId, ServiceOwners>;
 
   void Tick();
   /// Takes what the cluster's view says into the rollout.
-  void Survey(const ClusterView& aView);
+  void SyncWithView(const ClusterView& aView);
   [[nodiscard]] static ServiceMap CollectServices(const ClusterView& aView);
   void SetPolicy(const ClusterView& aView);
   void SetGoals(const ClusterView& aView, const ServiceMap& aServices);
   /// Owns, loses, claims or hands over one upstream.
-  void Place(const ClusterView& aView,
-             const ServiceOwners& aService,
-             const UpstreamRule& aRule);
+  void UpdateOwnership(const ClusterView& aView,
+                       const ServiceOwners& aService,
+                       const UpstreamRule& aRule);
   [[nodiscard]] InstanceId PreferredFor(const ClusterView& aView,
                                         const ServiceOwners& aService,
                                         const UpstreamRule& aRule) const;
@@ -48,7 +48,7 @@
   /// for a while and nothing is in progress.
   void HandOver(const UpstreamId& aUpstream, FencingNumber aTerm);
   void Perform(const RolloutAction& aAction);
-  void Note(const RolloutNotice& aNotice);
+  void LogNotice(const RolloutNotice& aNotice);
 
   Host& host_;
   Owners& owners_;
@@ -56,12 +56,12 @@
   std::mutex mutex_;
   Rollout rollout_;
   StoreLeaseId lease_ = 0;
-  TimePoint nextSurvey_;
+  TimePoint nextSync_;
   std::map<ServiceId, SteadyShare> shares_;
   /// When a claim may be made again; the view lags behind the store.
-  std::map<UpstreamId, TimePoint> claims_;
+  std::map<UpstreamId, TimePoint> claimRetryAt_;
   /// Since when another instance is the preferred owner of one of ours.
-  std::map<UpstreamId, TimePoint> misplaced_;
+  std::map<UpstreamId, TimePoint> preferredElsewhere_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/controld/owners.cpp
+++ b/src/programs/controld/owners.cpp
@@ -35,7 +35,7 @@
 }
 
 std::optional<FencingNumber>
-Owners::KeptTerm(const std::string& aDuty)
+Owners::RetainedTerm(const std::string& aDuty)
 {
   const auto view = host_.ClusterState().View();
   const std::lock_guard lock(mutex_);
@@ -50,7 +50,7 @@
 Owners::AcquireOrKeep(const std::string& aDuty,
                       std::function<void(Result<Ownership>)> aDone)
 {
-  const auto term = KeptTerm(aDuty);
+  const auto term = RetainedTerm(aDuty);
   if (!term) {
     Acquire(aDuty, std::move(aDone));
     return;
--- a/src/programs/controld/owners.hpp
+++ b/src/programs/controld/owners.hpp
@@ -41,7 +41,8 @@
 
 private:
   /// @returns our term of a duty that the store has no record of
-  [[nodiscard]] std::optional<FencingNumber> KeptTerm(const std::string& aDuty);
+  [[nodiscard]] std::optional<FencingNumber> RetainedTerm(
+    const std::string& aDuty);
   void Renew(const std::string& aDuty, FencingNumber aTerm);
   void Create(const std::string& aDuty,
               std::function<void(Result<Ownership>)> aDone);
--- a/src/programs/controld/trainer_operations.cpp
+++ b/src/programs/controld/trainer_operations.cpp
@@ -30,7 +30,7 @@
 }
 
 Error
-NotOpen(StepId aStep)
+StepNotOpen(StepId aStep)
 {
   return { ErrorKind::NotFound,
            "step " + std::to_string(aStep.Get()) +
@@ -187,7 +187,7 @@
 TrainerService::Restore(TrainerState& aState, const StepSpec& aSpec)
 {
   std::size_t restored = 0;
-  for (Sample& sample : kept_.Read(aState.rule_.id_, aSpec)) {
+  for (Sample& sample : candidateStore_.Read(aState.rule_.id_, aSpec)) {
     const CandidateVerdict verdict =
       aState.ledger_.OnGenerated(std::move(sample), host_.Now());
     restored += verdict == CandidateVerdict::Kept ? 1 : 0;
@@ -205,7 +205,7 @@
 TrainerService::Close(TrainerState& aState, StepId aStep, const RpcDone& aDone)
 {
   aState.ledger_.Close(aStep);
-  kept_.Remove(aState.rule_.id_, aStep);
+  candidateStore_.Remove(aState.rule_.id_, aStep);
   TrainerReply reply;
   reply.term_ = aState.term_;
   aDone(Encode(reply));
@@ -216,7 +216,7 @@
 {
   const TakeVerdict verdict = aState.ledger_.Accept(aTake.spec_, host_.Now());
   if (verdict == TakeVerdict::NotOpen) {
-    aDone(impl::NotOpen(aTake.spec_.step_));
+    aDone(impl::StepNotOpen(aTake.spec_.step_));
     return;
   }
   const Error superseded{ ErrorKind::Conflict, "a later take came" };
@@ -230,7 +230,7 @@
   const TimePoint until = host_.Now() + aTake.wait_;
   aState.waiting_ = WaitingTake{ std::move(aTake), until, std::move(aDone) };
   AnswerTake(aState);
-  Fill(aState);
+  StartGenerations(aState);
 }
 
 void
--- a/src/programs/controld/trainer_service.cpp
+++ b/src/programs/controld/trainer_service.cpp
@@ -14,7 +14,7 @@
   , owners_(aOwners)
   , candidates_(aHost)
   , announcer_(aHost)
-  , kept_(aHost.Settings())
+  , candidateStore_(aHost.Settings())
 {
 }
 
@@ -51,7 +51,7 @@
   }
   const TakeSpec& spec = aState.waiting_->take_.spec_;
   if (aState.ledger_.Find(spec.step_) == nullptr) {
-    aState.waiting_->done_(impl::NotOpen(spec.step_));
+    aState.waiting_->done_(impl::StepNotOpen(spec.step_));
     aState.waiting_.reset();
     return;
   }
@@ -70,7 +70,7 @@
 void
 TrainerService::Tick()
 {
-  DropLost();
+  DropLostTrainers();
   const auto view = host_.ClusterState().View();
   const std::lock_guard lock(mutex_);
   for (auto& [id, state] : trainers_) {
@@ -81,7 +81,7 @@
     }
     StoreVersion(state);
     AnswerTake(state);
-    Fill(state);
+    StartGenerations(state);
     CountTokens(state);
   }
 }
@@ -91,47 +91,47 @@
 {
   const WeightVersion newest = aState.ledger_.Versions().Newest();
   StoredVersion& stored = aState.stored_;
-  if (stored.busy_ || newest <= stored.version_ ||
-      host_.Now() < stored.nextTry_) {
+  if (stored.writing_ || newest <= stored.version_ ||
+      host_.Now() < stored.retryAt_) {
     return;
   }
-  stored.busy_ = true;
+  stored.writing_ = true;
   // The store may answer within the call, and the answer takes the lock that
   // is held here.
   host_.TimerQueue().After(
     Duration::zero(),
     [this, model = aState.rule_.model_, id = aState.rule_.id_, newest] {
-      TellStore(model, id, newest);
+      WriteVersion(model, id, newest);
     });
 }
 
 void
-TrainerService::TellStore(const std::string& aModel,
-                          const TrainerId& aTrainer,
-                          WeightVersion aVersion)
+TrainerService::WriteVersion(const std::string& aModel,
+                             const TrainerId& aTrainer,
+                             WeightVersion aVersion)
 {
   announcer_.Announce(
     aModel, aVersion, [this, aTrainer, aVersion](const Result<bool>& aStored) {
       const std::lock_guard lock(mutex_);
       if (TrainerState* state = Find(aTrainer)) {
-        VersionStored(*state, aVersion, aStored);
+        OnVersionWritten(*state, aVersion, aStored);
       }
     });
 }
 
 void
-TrainerService::VersionStored(TrainerState& aState,
-                              WeightVersion aVersion,
-                              const Result<bool>& aStored)
+TrainerService::OnVersionWritten(TrainerState& aState,
+                                 WeightVersion aVersion,
+                                 const Result<bool>& aStored)
 {
   StoredVersion& stored = aState.stored_;
-  stored.busy_ = false;
+  stored.writing_ = false;
   if (aStored) {
     stored.version_ = std::max(stored.version_, aVersion);
-    stored.pauses_.Reset();
+    stored.backoff_.Reset();
     return;
   }
-  stored.nextTry_ = host_.Now() + stored.pauses_.Next();
+  stored.retryAt_ = host_.Now() + stored.backoff_.Next();
   LogEvent(LogLevel::Warn,
            "announcement_not_stored",
            { { "trainer", aState.rule_.id_.Get() },
@@ -140,7 +140,7 @@
 }
 
 void
-TrainerService::DropLost()
+TrainerService::DropLostTrainers()
 {
   const std::lock_guard lock(mutex_);
   std::erase_if(trainers_, [this](auto& aEntry) {
@@ -158,7 +158,7 @@
 }
 
 void
-TrainerService::Fill(TrainerState& aState)
+TrainerService::StartGenerations(TrainerState& aState)
 {
   while (aState.ledger_.InFlight() < aState.rule_.inFlight_) {
     const auto start = aState.ledger_.StartNext(host_.Now());
@@ -174,25 +174,25 @@
                                 const GenerationStart& aStart)
 {
   const StepSpec& spec = aState.ledger_.Find(aStart.sample_.step_)->Spec();
-  CandidateOrder order;
-  order.rule_ = aState.rule_;
-  order.sample_ = aStart.sample_;
-  order.least_ = aStart.minVersion_;
-  order.maxTokens_ = spec.maxTokens_;
-  order.prompt_ = spec.prompts_[aStart.sample_.group_];
-  order.trace_ = aState.trace_;
-  candidates_.Make(order, EventsOf(aState.rule_.id_, aStart.sample_));
+  CandidateRequest request;
+  request.rule_ = aState.rule_;
+  request.sample_ = aStart.sample_;
+  request.minVersion_ = aStart.minVersion_;
+  request.maxTokens_ = spec.maxTokens_;
+  request.prompt_ = spec.prompts_[aStart.sample_.group_];
+  request.trace_ = aState.trace_;
+  candidates_.Make(request, MakeEvents(aState.rule_.id_, aStart.sample_));
 }
 
 CandidateEvents
-TrainerService::EventsOf(const TrainerId& aTrainer, const SampleId& aSample)
+TrainerService::MakeEvents(const TrainerId& aTrainer, const SampleId& aSample)
 {
   CandidateEvents events;
   events.scoring_ = [this, aTrainer, aSample] {
     const std::lock_guard lock(mutex_);
     if (TrainerState* state = Find(aTrainer)) {
       state->ledger_.OnScoring(aSample);
-      Fill(*state);
+      StartGenerations(*state);
     }
   };
   events.stillWanted_ = [this, aTrainer](const Sample& aCandidate) {
@@ -203,16 +203,16 @@
   };
   events.done_ = [this, aTrainer, aSample](const Result<Sample>& aMade) {
     if (aMade) {
-      Keep(aTrainer, aMade.value());
+      KeepCandidate(aTrainer, aMade.value());
     } else {
-      Fail(aTrainer, aSample, aMade.error());
+      OnCandidateFailed(aTrainer, aSample, aMade.error());
     }
   };
   return events;
 }
 
 void
-TrainerService::Keep(const TrainerId& aTrainer, const Sample& aSample)
+TrainerService::KeepCandidate(const TrainerId& aTrainer, const Sample& aSample)
 {
   const std::lock_guard lock(mutex_);
   TrainerState* state = Find(aTrainer);
@@ -228,17 +228,17 @@
                { "upstream", aSample.upstream_.Get() } });
   } else if (verdict == CandidateVerdict::Kept) {
     const StepSpec& spec = state->ledger_.Find(aSample.id_.step_)->Spec();
-    kept_.Append(aTrainer, spec, aSample);
+    candidateStore_.Append(aTrainer, spec, aSample);
   }
-  state->pauses_.Reset();
+  state->backoff_.Reset();
   AnswerTake(*state);
-  Fill(*state);
+  StartGenerations(*state);
 }
 
 void
-TrainerService::Fail(const TrainerId& aTrainer,
-                     const SampleId& aSample,
-                     const Error& aError)
+TrainerService::OnCandidateFailed(const TrainerId& aTrainer,
+                                  const SampleId& aSample,
+                                  const Error& aError)
 {
   LogEvent(LogLevel::Warn,
            "candidate_failed",
@@ -248,11 +248,11 @@
   if (state == nullptr) {
     return;
   }
-  host_.TimerQueue().After(state->pauses_.Next(), [this, aTrainer, aSample] {
+  host_.TimerQueue().After(state->backoff_.Next(), [this, aTrainer, aSample] {
     const std::lock_guard inner(mutex_);
     if (TrainerState* now = Find(aTrainer)) {
       now->ledger_.OnFailed(aSample);
-      Fill(*now);
+      StartGenerations(*now);
     }
   });
 }
--- a/src/programs/controld/trainer_service.hpp
+++ b/src/programs/controld/trainer_service.hpp
@@ -13,15 +13,15 @@
 namespace impl {
 
 /// Pauses before a failed generation or write to the store is tried again.
-inline constexpr auto kFirstPause = std::chrono::milliseconds(50);
-inline constexpr auto kLongestPause = std::chrono::seconds(2);
+inline constexpr auto kInitialBackoff = std::chrono::milliseconds(50);
+inline constexpr auto kMaxBackoff = std::chrono::seconds(2);
 
 /// @returns the duty of serving a trainer
 [[nodiscard]] std::string
 DutyOf(const TrainerId& aTrainer);
 /// @returns what a take of a step that is not open here is told
 [[nodiscard]] Error
-NotOpen(StepId aStep);
+StepNotOpen(StepId aStep);
 
 } // namespace impl
 
@@ -49,9 +49,9 @@
   {
     WeightVersion version_;
     /// Whether a write is in progress.
-    bool busy_ = false;
-    TimePoint nextTry_;
-    Backoff pauses_{ impl::kFirstPause, impl::kLongestPause, 1 };
+    bool writing_ = false;
+    TimePoint retryAt_;
+    Backoff backoff_{ impl::kInitialBackoff, impl::kMaxBackoff, 1 };
   };
   struct TrainerState
   {
@@ -61,7 +61,7 @@
     std::optional<WaitingTake> waiting_;
     std::string trace_;
     /// Pauses after failed generations.
-    Backoff pauses_{ impl::kFirstPause, impl::kLongestPause, 2 };
+    Backoff backoff_{ impl::kInitialBackoff, impl::kMaxBackoff, 2 };
     StoredVersion stored_;
   };
 
@@ -89,26 +89,26 @@
                 const RpcDone& aDone);
   /// Writes the newest version to the store, without the lock.
   void StoreVersion(TrainerState& aState);
-  void TellStore(const std::string& aModel,
-                 const TrainerId& aTrainer,
-                 WeightVersion aVersion);
-  void VersionStored(TrainerState& aState,
-                     WeightVersion aVersion,
-                     const Result<bool>& aStored);
+  void WriteVersion(const std::string& aModel,
+                    const TrainerId& aTrainer,
+                    WeightVersion aVersion);
+  void OnVersionWritten(TrainerState& aState,
+                        WeightVersion aVersion,
+                        const Result<bool>& aStored);
   void Tick();
   /// Drops ledgers whose trainer another instance owns.
-  void DropLost();
+  void DropLostTrainers();
   /// Answers the waiting take if it has samples or waited long enough.
   void AnswerTake(TrainerState& aState);
   /// Starts generations up to the limit.
-  void Fill(TrainerState& aState);
+  void StartGenerations(TrainerState& aState);
   void StartGeneration(TrainerState& aState, const GenerationStart& aStart);
-  [[nodiscard]] CandidateEvents EventsOf(const TrainerId& aTrainer,
-                                         const SampleId& aSample);
-  void Keep(const TrainerId& aTrainer, const Sample& aSample);
-  void Fail(const TrainerId& aTrainer,
-            const SampleId& aSample,
-            const Error& aError);
+  [[nodiscard]] CandidateEvents MakeEvents(const TrainerId& aTrainer,
+                                           const SampleId& aSample);
+  void KeepCandidate(const TrainerId& aTrainer, const Sample& aSample);
+  void OnCandidateFailed(const TrainerId& aTrainer,
+                         const SampleId& aSample,
+                         const Error& aError);
   void CountTokens(TrainerState& aState);
   /// @returns the state of a trainer that is owned here, else null
   [[nodiscard]] TrainerState* Find(const TrainerId& aTrainer);
@@ -117,7 +117,7 @@
   Owners& owners_;
   CandidateSource candidates_;
   VersionAnnouncer announcer_;
-  CandidateStore kept_;
+  CandidateStore candidateStore_;
   mutable std::mutex mutex_;
   std::map<TrainerId, TrainerState> trainers_;
 };
--- a/src/programs/ctl/commands.hpp
+++ b/src/programs/ctl/commands.hpp
@@ -10,7 +10,7 @@
 struct CommandInput
 {
   /// Arguments after the command's name.
-  std::vector<std::string> words_;
+  std::vector<std::string> arguments_;
   std::string store_;
   std::string traceDir_;
   /// Key to explain.
--- a/src/programs/ctl/edit_commands.cpp
+++ b/src/programs/ctl/edit_commands.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 bool
-HasWords(const CommandInput& aInput, std::size_t aCount, const char* aUsage)
+HasArguments(const CommandInput& aInput, std::size_t aCount, const char* aUsage)
 {
-  if (aInput.words_.size() == aCount) {
+  if (aInput.arguments_.size() == aCount) {
     return true;
   }
   std::cerr << "marjoramctl: usage: marjoramctl " << aUsage << '\n';
@@ -89,10 +89,10 @@
 int
 RunPush(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 1, "push DIR [--wait]")) {
+  if (!HasArguments(aInput, 1, "push DIR [--wait]")) {
     return kExitBadInput;
   }
-  const std::string& folder = aInput.words_.front();
+  const std::string& folder = aInput.arguments_.front();
   const auto files = LoadChecked(folder);
   if (!files) {
     return kExitBadInput;
@@ -102,9 +102,9 @@
   AddDifferences(edit, ReadBase(folder).value_or(Manifest{}), *files);
   const int code = session.Submit(std::move(edit));
   if (code == kExitOk) {
-    const auto noted = WriteBase(folder, ManifestOf(*files));
-    if (!noted) {
-      std::cerr << "marjoramctl: accepted, but: " << noted.error().message_
+    const auto written = WriteBase(folder, ManifestOf(*files));
+    if (!written) {
+      std::cerr << "marjoramctl: accepted, but: " << written.error().message_
                 << '\n';
     }
   }
@@ -114,10 +114,10 @@
 int
 RunPull(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 1, "pull DIR")) {
+  if (!HasArguments(aInput, 1, "pull DIR")) {
     return kExitBadInput;
   }
-  const std::string& folder = aInput.words_.front();
+  const std::string& folder = aInput.arguments_.front();
   const auto local = ReadFolder(folder);
   if (!local) {
     std::cerr << local.error().Render();
@@ -159,18 +159,18 @@
   if (kept != 0) {
     return kExitFailed;
   }
-  const auto noted = WriteBase(folder, now);
-  return noted ? kExitOk : PrintFailure(noted.error());
+  const auto written = WriteBase(folder, now);
+  return written ? kExitOk : PrintFailure(written.error());
 }
 
 int
 RunEdit(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 2, "edit FILE 'SECTION.KEY=VALUE'")) {
+  if (!HasArguments(aInput, 2, "edit FILE 'SECTION.KEY=VALUE'")) {
     return kExitBadInput;
   }
-  const std::string& file = aInput.words_.front();
-  const auto assignment = ParseAssignment(aInput.words_.back());
+  const std::string& file = aInput.arguments_.front();
+  const auto assignment = ParseAssignment(aInput.arguments_.back());
   if (!assignment || !file.ends_with(".ini")) {
     std::cerr << "marjoramctl: "
               << (assignment ? "the file's name must end in .ini"
@@ -191,10 +191,10 @@
 int
 RunDrain(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 1, "drain UPSTREAM [--undo]")) {
+  if (!HasArguments(aInput, 1, "drain UPSTREAM [--undo]")) {
     return kExitBadInput;
   }
-  const std::string section = "upstream " + aInput.words_.front();
+  const std::string section = "upstream " + aInput.arguments_.front();
   Session session(aInput);
   const auto accepted = session.Accepted();
   if (!accepted) {
@@ -226,10 +226,10 @@
 int
 RunRevertTo(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 1, "revert-to REVISION")) {
+  if (!HasArguments(aInput, 1, "revert-to REVISION")) {
     return kExitBadInput;
   }
-  const auto revision = ParseNumber(aInput.words_.front(), 1, UINT64_MAX);
+  const auto revision = ParseNumber(aInput.arguments_.front(), 1, UINT64_MAX);
   Session session(aInput);
   const auto accepted = session.Accepted();
   const auto log = ReadLog(session.PlatformStore());
@@ -244,7 +244,7 @@
                   : PrintFailure(edit.error());
     }
   }
-  std::cerr << "marjoramctl: revision " << aInput.words_.front()
+  std::cerr << "marjoramctl: revision " << aInput.arguments_.front()
             << " is not in the log; the last " << kKeptRevisions
             << " are kept\n";
   return kExitBadInput;
@@ -253,11 +253,11 @@
 int
 RunRestore(const CommandInput& aInput)
 {
-  if (!HasWords(aInput, 1, "restore ADDRESS")) {
+  if (!HasArguments(aInput, 1, "restore ADDRESS")) {
     return kExitBadInput;
   }
   Session session(aInput);
-  const auto text = session.Ask(aInput.words_.front(), "/config");
+  const auto text = session.Query(aInput.arguments_.front(), "/config");
   const auto content =
     text ? ParseContent(*text)
          : Result<ConfigContent>(Error{
--- a/src/programs/ctl/explain_command.cpp
+++ b/src/programs/ctl/explain_command.cpp
@@ -12,7 +12,7 @@
 
 /// So many lines of one event of one process are printed; a process that lost
 /// the store tells so several times a second.
-constexpr std::size_t kMostAlike = 2;
+constexpr std::size_t kMaxSimilarLines = 2;
 
 void
 PrintLines(const char* aTitle, const std::vector<LogLine>& aLines)
@@ -20,17 +20,17 @@
   if (!aLines.empty()) {
     std::cout << aTitle << '\n';
   }
-  std::map<std::pair<std::string, std::string>, std::size_t> alike;
+  std::map<std::pair<std::string, std::string>, std::size_t> counts;
   for (const LogLine& line : aLines) {
     const std::pair key{ std::string(line.Field("instance")),
                          std::string(line.Event()) };
-    if (++alike[key] <= kMostAlike) {
+    if (++counts[key] <= kMaxSimilarLines) {
       std::cout << "  " << line.text_ << '\n';
     }
   }
-  for (const auto& [key, count] : alike) {
-    if (count > kMostAlike) {
-      std::cout << "  and " << count - kMostAlike
+  for (const auto& [key, count] : counts) {
+    if (count > kMaxSimilarLines) {
+      std::cout << "  and " << count - kMaxSimilarLines
                 << " more of event=" << key.second << " at " << key.first
                 << '\n';
     }
@@ -42,7 +42,7 @@
 int
 RunExplain(const CommandInput& aInput)
 {
-  if (aInput.words_.size() != 1) {
+  if (aInput.arguments_.size() != 1) {
     std::cerr << "marjoramctl: give one id, and the logs on standard input\n";
     return kExitBadInput;
   }
@@ -51,7 +51,7 @@
   while (std::getline(std::cin, line)) {
     lines.push_back(std::move(line));
   }
-  const LogStory story = TellStory(lines, aInput.words_.front());
+  const LogStory story = TellStory(lines, aInput.arguments_.front());
   PrintLines("Its own lines:", story.own_);
   PrintLines("Lines around them that bear on it:", story.around_);
   std::cout << "Findings (" << story.lines_ << " lines read, " << story.unread_
--- a/src/programs/ctl/main.cpp
+++ b/src/programs/ctl/main.cpp
@@ -125,7 +125,7 @@
       "name that edits carry");
   po::options_description all;
   all.add(visible).add_options()("words",
-                                 po::value(&input.words_)->multitoken());
+                                 po::value(&input.arguments_)->multitoken());
   po::positional_options_description positional;
   positional.add("words", -1);
   po::variables_map values;
@@ -148,10 +148,11 @@
     std::cout << "marjoramctl " << kVersion << '\n';
     return kExitOk;
   }
-  const std::string name = input.words_.empty() ? "" : input.words_.front();
+  const std::string name =
+    input.arguments_.empty() ? "" : input.arguments_.front();
   for (const Command& command : kCommands) {
     if (command.name_ == name) {
-      input.words_.erase(input.words_.begin());
+      input.arguments_.erase(input.arguments_.begin());
       InitLog("marjoramctl", "cli", LogLevel::Warn);
       return command.run_(input);
     }
--- a/src/programs/ctl/session.cpp
+++ b/src/programs/ctl/session.cpp
@@ -13,14 +13,14 @@
 using Json = nlohmann::json;
 
 constexpr auto kStoreTimeout = std::chrono::seconds(5);
-constexpr auto kAskTimeout = std::chrono::seconds(1);
+constexpr auto kQueryTimeout = std::chrono::seconds(1);
 /// Longest wait for a revision to be in force.
-constexpr auto kInForceLimit = std::chrono::seconds(15);
-constexpr auto kInForcePoll = std::chrono::milliseconds(100);
+constexpr auto kInForceTimeout = std::chrono::seconds(15);
+constexpr auto kInForcePollPeriod = std::chrono::milliseconds(100);
 /// Instances asked whether the store came back older.
-constexpr int kAskedInstances = 3;
+constexpr int kMaxQueriedInstances = 3;
 /// Every so many revisions an editor deletes unused contents.
-constexpr std::uint64_t kSweepEvery = 64;
+constexpr std::uint64_t kRevisionsPerSweep = 64;
 
 std::uint64_t
 RevisionOf(const std::optional<std::string>& aStatus)
@@ -32,7 +32,7 @@
 
 /// A store that cannot be opened is told of; calls to it then fail.
 std::unique_ptr<Store>
-OpenOrExplain(HttpClient& aClient, const std::string& aAddress)
+OpenOrReport(HttpClient& aClient, const std::string& aAddress)
 {
   static const SystemClock kClock;
   auto store = OpenStore(aAddress, aClient, kStoreTimeout, kClock);
@@ -48,7 +48,7 @@
 Session::Session(const CommandInput& aInput)
   : input_(aInput)
   , client_(HttpClient::Create(1))
-  , store_(OpenOrExplain(*client_, aInput.store_))
+  , store_(OpenOrReport(*client_, aInput.store_))
 {
 }
 
@@ -72,12 +72,12 @@
 }
 
 std::optional<std::string>
-Session::Ask(const std::string& aAddress, const std::string& aPath)
+Session::Query(const std::string& aAddress, const std::string& aPath)
 {
   HttpCall call;
   call.url_ = "http://" + aAddress + aPath;
-  call.timeout_ = kAskTimeout;
-  call.connectTimeout_ = kAskTimeout;
+  call.timeout_ = kQueryTimeout;
+  call.connectTimeout_ = kQueryTimeout;
   if (!input_.token_.empty()) {
     call.headers_.push_back({ "Authorization", "Bearer " + input_.token_ });
   }
@@ -100,12 +100,12 @@
   }
   std::uint64_t highest = 0;
   std::string where;
-  int asked = 0;
+  int queried = 0;
   for (const LiveInstance& instance : ListInstances(live.value())) {
-    if (asked++ == kAskedInstances) {
+    if (queried++ == kMaxQueriedInstances) {
       break;
     }
-    const std::uint64_t has = RevisionOf(Ask(instance.http_, "/status.json"));
+    const std::uint64_t has = RevisionOf(Query(instance.http_, "/status.json"));
     if (has > highest) {
       highest = has;
       where = instance.id_ + " (" + instance.http_ + ")";
@@ -130,9 +130,9 @@
 Session::Submit(ConfigEdit aEdit)
 {
   if (aEdit.aboveRevision_ == ConfigRevision{ 0 }) {
-    const auto sound = CheckStoreNotOlder();
-    if (!sound) {
-      return PrintFailure(sound.error());
+    const auto checked = CheckStoreNotOlder();
+    if (!checked) {
+      return PrintFailure(checked.error());
     }
   }
   const auto end = Await<EditResult>([&](auto aDone) {
@@ -172,16 +172,16 @@
   } else {
     std::cout << "accepted revision " << revision << '\n';
   }
-  if (revision % kSweepEvery == 0) {
+  if (revision % kRevisionsPerSweep == 0) {
     (void)SweepContents(*store_);
   }
-  return input_.wait_ ? WaitInForce(aEnd.revision_) : kExitOk;
+  return input_.wait_ ? WaitUntilInForce(aEnd.revision_) : kExitOk;
 }
 
 int
-Session::WaitInForce(ConfigRevision aRevision)
+Session::WaitUntilInForce(ConfigRevision aRevision)
 {
-  const auto limit = std::chrono::steady_clock::now() + kInForceLimit;
+  const auto limit = std::chrono::steady_clock::now() + kInForceTimeout;
   const auto live = Live();
   if (!live) {
     std::cerr << "marjoramctl: accepted, but the store does not tell which "
@@ -193,13 +193,13 @@
   const std::size_t all = behind.size();
   while (true) {
     std::erase_if(behind, [&](const LiveInstance& aInstance) {
-      return RevisionOf(Ask(aInstance.http_, "/status.json")) >=
+      return RevisionOf(Query(aInstance.http_, "/status.json")) >=
              aRevision.Get();
     });
     if (behind.empty() || std::chrono::steady_clock::now() >= limit) {
       break;
     }
-    std::this_thread::sleep_for(kInForcePoll);
+    std::this_thread::sleep_for(kInForcePollPeriod);
   }
   for (const LiveInstance& instance : behind) {
     std::cerr << "marjoramctl: not in force at " << instance.id_ << " ("
--- a/src/programs/ctl/session.hpp
+++ b/src/programs/ctl/session.hpp
@@ -24,13 +24,13 @@
   int Submit(ConfigEdit aEdit);
   /// Reads what an instance says of itself.
   /// @returns nothing if it does not answer
-  [[nodiscard]] std::optional<std::string> Ask(const std::string& aAddress,
-                                               const std::string& aPath);
+  [[nodiscard]] std::optional<std::string> Query(const std::string& aAddress,
+                                                 const std::string& aPath);
 
 private:
   [[nodiscard]] Result<bool> CheckStoreNotOlder();
   int Report(const EditResult& aEnd);
-  int WaitInForce(ConfigRevision aRevision);
+  int WaitUntilInForce(ConfigRevision aRevision);
 
   const CommandInput& input_;
   std::unique_ptr<HttpClient> client_;
--- a/src/programs/ctl/trace_command.cpp
+++ b/src/programs/ctl/trace_command.cpp
@@ -75,11 +75,11 @@
 int
 RunTrace(const CommandInput& aInput)
 {
-  if (aInput.words_.size() != 1) {
+  if (aInput.arguments_.size() != 1) {
     std::cerr << "marjoramctl: give one trace id\n";
     return kExitBadInput;
   }
-  const auto spans = ReadSpans(aInput.traceDir_, aInput.words_.front());
+  const auto spans = ReadSpans(aInput.traceDir_, aInput.arguments_.front());
   if (spans.empty()) {
     std::cerr << "marjoramctl: no span of this trace in " << aInput.traceDir_
               << '\n';
--- a/src/programs/ctl/view_commands.cpp
+++ b/src/programs/ctl/view_commands.cpp
@@ -121,7 +121,7 @@
             { "role", aInstance.role_ },
             { "zone", aInstance.zone_ },
             { "http", aInstance.http_ } };
-  const auto text = aSession.Ask(aInstance.http_, "/status.json");
+  const auto text = aSession.Query(aInstance.http_, "/status.json");
   const Json body = text ? Json::parse(*text, nullptr, false) : Json(nullptr);
   if (!body.is_object()) {
     row["revision"] = "no answer";
@@ -142,11 +142,11 @@
 int
 RunCheck(const CommandInput& aInput)
 {
-  if (aInput.words_.size() != 1) {
+  if (aInput.arguments_.size() != 1) {
     std::cerr << "marjoramctl: usage: marjoramctl check DIR [--explain KEY]\n";
     return kExitBadInput;
   }
-  const std::string& folder = aInput.words_.front();
+  const std::string& folder = aInput.arguments_.front();
   const auto files = LoadChecked(folder);
   if (!files) {
     return kExitBadInput;
@@ -176,11 +176,11 @@
 int
 RunDiff(const CommandInput& aInput)
 {
-  if (aInput.words_.size() != 1) {
+  if (aInput.arguments_.size() != 1) {
     std::cerr << "marjoramctl: usage: marjoramctl diff DIR\n";
     return kExitBadInput;
   }
-  const auto files = LoadChecked(aInput.words_.front());
+  const auto files = LoadChecked(aInput.arguments_.front());
   if (!files) {
     return kExitBadInput;
   }
--- a/tests/test_control_faults.cpp
+++ b/tests/test_control_faults.cpp
@@ -47,7 +47,7 @@
     return text.get_future().get();
   }
 
-  RpcReply Ask(TrainerOperation aOperation)
+  RpcReply Request(TrainerOperation aOperation)
   {
     std::promise<RpcReply> answer;
     trainers_.Serve(
@@ -58,7 +58,7 @@
   }
 
   /// Until the next readings are refused within their calls.
-  void SpendBudget()
+  void ExhaustBudget()
   {
     const auto refused = [this] {
       const auto now = std::make_shared<std::atomic<bool>>(false);
@@ -85,19 +85,19 @@
 {
   // Not destroyed when it hangs.
   auto process = std::make_unique<Process>();
-  REQUIRE(process->Ask(GetProgress{}));
-  process->SpendBudget();
+  REQUIRE(process->Request(GetProgress{}));
+  process->ExhaustBudget();
   std::promise<bool> answered;
   auto answer = answered.get_future();
   std::thread([held = process.get(), done = std::move(answered)]() mutable {
     done.set_value(
-      static_cast<bool>(held->Ask(AnnounceVersion{ WeightVersion{ 3 } })));
+      static_cast<bool>(held->Request(AnnounceVersion{ WeightVersion{ 3 } })));
   }).detach();
-  const bool came = answer.wait_for(5s) == std::future_status::ready;
-  if (!came) {
+  const bool answeredInTime = answer.wait_for(5s) == std::future_status::ready;
+  if (!answeredInTime) {
     static_cast<void>(process.release());
   }
-  REQUIRE(came);
+  REQUIRE(answeredInTime);
   REQUIRE(answer.get());
   // The store is told once the process may call it again.
   process->trainers_.Start();
