--- a/src/programs/controld/allocation_service.cpp
+++ b/src/programs/controld/allocation_service.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr auto kRoundPeriod = std::chrono::seconds(1);
-/// Engines whose load is read in a round, however many there are.
+/// Bounds the load reads of one round, independent of the number of engines.
 constexpr std::size_t kMaxSampledEngines = 20;
 
 std::vector<UpstreamId>
@@ -108,8 +108,8 @@
   ReadRoles(aView, aRule, aTerm);
 }
 
-/// The view may be older than our ownership, or not have been read at all: by
-/// it, engines that were shared out would count as nobody's.
+/// Reads the store instead of the view: the view may be older than this
+/// ownership, or empty, and allocated engines would then count as unallocated.
 void
 AllocationService::ReadRoles(const ClusterViewPtr& aView,
                              const ServiceRule& aRule,
@@ -126,7 +126,7 @@
       Pool& pool = it->second;
       pool.reading_ = false;
       if (!aRoles) {
-        // The next round reads again.
+        // The next round repeats the read.
         LogEvent(LogLevel::Warn,
                  "roles_not_read",
                  { { "service", aRule.id_.Get() },
@@ -170,7 +170,7 @@
     }
     const auto roles = nlohmann::json::parse(record.value_, nullptr, false);
     if (!roles.is_object()) {
-      // Only owners write it, so that waiting would not make it readable.
+      // Only owners write this record, so retrying the read would not help.
       LogEvent(LogLevel::Error, "store_record_unreadable", { { "key", aKey } });
       continue;
     }
@@ -235,7 +235,7 @@
   }
   aPool.writing_ = true;
   StoreTxn txn;
-  // Only the present owner's record may change the roles.
+  // Commits only while this instance's owner record is current.
   txn.compares_.push_back(
     { std::string(kOwnerPrefix) + "allocation/" + aService.Get(),
       aPool.term_.Get() });
--- a/src/programs/controld/allocation_service.hpp
+++ b/src/programs/controld/allocation_service.hpp
@@ -1,5 +1,5 @@
-/// Drives the allocation of engines for the services whose rules ask for it:
-/// samples loads, publishes roles in the store.
+/// Allocates engines of the services whose rules enable allocation: samples the
+/// engines' loads and publishes the resulting roles in the store.
 #pragma once
 
 #include "marjoramtally/process/allocation.hpp"
@@ -14,7 +14,7 @@
 public:
   AllocationService(Host& aHost, Owners& aOwners);
   void Start();
-  /// One round of all services; comes by itself once started.
+  /// Runs one round of all services. Called periodically after `Start`.
   void Tick();
 
 private:
@@ -22,28 +22,30 @@
   {
     Allocation allocation_{ AllocationPolicy{} };
     FencingNumber term_;
-    /// What was published before this term was taken over.
+    /// Whether the roles published by the previous owner were adopted.
     bool adopted_ = false;
+    /// Whether a read of the published roles is in progress.
     bool reading_ = false;
-    /// Sum and number of the loads sampled in this round, by user.
+    /// Sum and count of the loads sampled in this round, by user.
     std::map<EngineUserId, std::pair<double, std::uint64_t>> sampledLoads_;
+    /// Whether a write of the roles is in progress.
     bool writing_ = false;
-    /// The roles published last.
+    /// The roles last written to the store, as JSON.
     std::string publishedRoles_;
   };
 
   void RunService(const ClusterViewPtr& aView,
                   const ServiceRule& aRule,
                   FencingNumber aTerm);
-  /// One round of an allocation that is known.
+  /// Runs one round of an allocation whose published roles were adopted.
   void RunRound(const ClusterView& aView,
                 const ServiceRule& aRule,
                 Pool& aPool);
-  /// Reads what was published last, then goes on with the round.
+  /// Reads the published roles from the store, then runs the round.
   void ReadRoles(const ClusterViewPtr& aView,
                  const ServiceRule& aRule,
                  FencingNumber aTerm);
-  /// Takes over what the last owner published.
+  /// Adopts the roles that the previous owner published.
   static void AdoptRoles(const StoreRange& aRoles,
                          const std::string& aKey,
                          Pool& aPool);
--- a/src/programs/controld/candidate_source.cpp
+++ b/src/programs/controld/candidate_source.cpp
@@ -8,7 +8,7 @@
 
 constexpr auto kGenerateTimeout = std::chrono::minutes(5);
 constexpr auto kScoreTimeout = std::chrono::seconds(10);
-/// Pauses between tries of a scorer.
+/// Backoff between attempts to score a sample.
 constexpr auto kInitialScoreBackoff = std::chrono::milliseconds(50);
 constexpr auto kMaxScoreBackoff = std::chrono::seconds(5);
 
@@ -38,7 +38,7 @@
   return sample;
 }
 
-/// @returns the reward if the scorer gave one
+/// @returns the reward, or nothing if the response holds none
 std::optional<double>
 ReadReward(const HttpResult& aResult)
 {
@@ -87,7 +87,7 @@
   const auto entry = ChooseEntry();
   if (!entry) {
     host_.TimerQueue().After(Duration::zero(), [done = aEvents.done_] {
-      done(Error{ ErrorKind::Unavailable, "no entry is known" });
+      done(Error{ ErrorKind::Unavailable, "no entry instance is known" });
     });
     return;
   }
@@ -170,7 +170,8 @@
       Score(aScoring);
     } else {
       aScoring->events_.done_(
-        Error{ ErrorKind::Conflict, "no longer wanted unscored" });
+        Error{ ErrorKind::Conflict,
+               "the sample is no longer needed; scoring abandoned" });
     }
   });
 }
--- a/src/programs/controld/candidate_source.hpp
+++ b/src/programs/controld/candidate_source.hpp
@@ -1,5 +1,5 @@
-/// Makes candidates for samples: has an entry generate them, then has the
-/// trainer's scorer score them.
+/// Produces candidates for samples: an entry instance generates the text, then
+/// the trainer's scorer computes the reward.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -7,12 +7,12 @@
 
 namespace marjoramtally {
 
-/// One candidate to make.
+/// Parameters of one candidate.
 struct CandidateRequest
 {
   TrainerRule rule_;
   SampleId sample_;
-  /// The oldest version that may generate it.
+  /// Oldest weight version that may generate it.
   WeightVersion minVersion_;
   std::uint32_t maxTokens_ = 0;
   std::string prompt_;
@@ -20,19 +20,19 @@
   std::string trace_;
 };
 
-/// What a candidate's maker is told.
+/// Callbacks on the progress of one candidate.
 struct CandidateEvents
 {
-  /// The generation ended; scoring begins.
+  /// Generation has completed and scoring starts.
   std::function<void()> scoring_;
-  /// Asked before scoring is tried again.
+  /// Called before scoring is retried; false abandons the candidate.
   std::function<bool(const Sample&)> stillWanted_;
-  /// The candidate, or why there is none; called exactly once, never from
+  /// Receives the candidate or the error. Called exactly once, never from
   /// within `Make`.
   std::function<void(const Result<Sample>&)> done_;
 };
 
-/// Generates and scores. Thread-safe.
+/// Generates and scores candidates. Thread-safe.
 class CandidateSource
 {
 public:
--- a/src/programs/controld/candidate_store.hpp
+++ b/src/programs/controld/candidate_store.hpp
@@ -1,12 +1,13 @@
-/// Candidates on this instance's disk, if its settings name a data folder.
+/// Stores candidates on this instance's disk if its settings name a data
+/// folder.
 #pragma once
 
 #include "daemon/host.hpp"
 
 namespace marjoramtally {
 
-/// Writes and reads the journal and logs what goes wrong; without a data
-/// folder it does nothing. Not thread-safe.
+/// Wraps the sample journal and logs its failures; a no-op without a data
+/// folder. Not thread-safe.
 class CandidateStore
 {
 public:
@@ -15,7 +16,7 @@
   void Append(const TrainerId& aTrainer,
               const StepSpec& aSpec,
               const Sample& aSample);
-  /// @returns the candidates kept of a step
+  /// @returns the stored candidates of a step
   [[nodiscard]] std::vector<Sample> Read(const TrainerId& aTrainer,
                                          const StepSpec& aSpec);
   void Remove(const TrainerId& aTrainer, StepId aStep);
--- a/src/programs/controld/main.cpp
+++ b/src/programs/controld/main.cpp
@@ -1,4 +1,5 @@
-/// The control daemon: ledgers of trainers and orders to engines.
+/// The control daemon: keeps trainers' sample ledgers, sends orders to engines
+/// and allocates engines to their users.
 
 #include "programs/controld/allocation_service.hpp"
 #include "programs/controld/order_service.hpp"
@@ -33,12 +34,12 @@
 main(int aArgc, char** aArgv)
 {
   int code = kExitOk;
-  auto settings =
-    StartDaemon(aArgc,
-                aArgv,
-                "marjoram-controld",
-                "Keeps trainers' samples and orders engines to their versions.",
-                code);
+  auto settings = StartDaemon(
+    aArgc,
+    aArgv,
+    "marjoram-controld",
+    "Keeps trainers' samples and orders engines to weight versions.",
+    code);
   if (!settings) {
     return code;
   }
--- a/src/programs/controld/order_sender.cpp
+++ b/src/programs/controld/order_sender.cpp
@@ -9,7 +9,7 @@
 using Json = nlohmann::json;
 
 constexpr auto kReadTimeout = std::chrono::seconds(1);
-/// Longest wait for an order's answer, besides draining.
+/// Timeout for the response to an order, in addition to its drain time.
 constexpr auto kOrderTimeout = std::chrono::seconds(30);
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
@@ -150,10 +150,12 @@
   call.url_ = "http://" + AddressOf(aOrder.upstream_) + "/orders";
   call.body_ = FormatOrder(aOrder);
   call.timeout_ = kOrderTimeout + aOrder.drain_;
-  // The client must not send it a second time on its own.
+  // The client must not retry an order: it might be executed twice.
   call.atMostOnce_ = true;
   if (host_.Now() > aOrder.sendBy_) {
-    LogOutcome(aOrder, OrderEnd::NotSent, "the lease ends too soon");
+    LogOutcome(aOrder,
+               OrderEnd::NotSent,
+               "the lease expires too soon to send the order");
     aDone(OrderEnd::NotSent);
     return;
   }
--- a/src/programs/controld/order_sender.hpp
+++ b/src/programs/controld/order_sender.hpp
@@ -1,4 +1,4 @@
-/// Reads of state and orders as HTTP calls to upstreams.
+/// Reads the state of upstreams and sends them orders, over HTTP.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// Sends to upstreams and classifies what came of it. Thread-safe.
+/// Sends requests to upstreams and classifies their outcomes. Thread-safe.
 class OrderSender
 {
 public:
@@ -15,7 +15,7 @@
   {
   }
 
-  /// @param aDone gets the state, or nothing if it could not be read
+  /// @param aDone receives the state, or nothing if it could not be read
   void Read(const UpstreamId& aUpstream,
             std::function<void(std::optional<UpstreamState>)> aDone);
   void Send(const SendOrder& aOrder, std::function<void(OrderEnd)> aDone);
--- a/src/programs/controld/order_service.cpp
+++ b/src/programs/controld/order_service.cpp
@@ -8,14 +8,16 @@
 
 constexpr auto kTick = std::chrono::milliseconds(20);
 constexpr auto kSyncPeriod = std::chrono::milliseconds(200);
-/// Before a claim that does not show in the view yet is made again.
+/// Delay before repeating a claim that the view does not show yet.
 constexpr auto kClaimRetryDelay = std::chrono::seconds(2);
-/// Claims that may be open at once, so that a start does not flood the store.
+/// Bounds concurrent claims so that a start does not overload the store.
 constexpr std::size_t kMaxOpenClaims = 16;
-/// How long another instance is preferred before it is given an upstream.
+/// How long another instance must be preferred before an upstream is handed
+/// over to it.
 constexpr auto kHandOverDelay = std::chrono::seconds(10);
-/// How long a larger share of switch slots has to stand; longer than views
-/// of the cluster differ.
+/// How long a larger share of switch slots must last before it is used; longer
+/// than the cluster views of instances differ, so that their shares never add
+/// up to more than all slots.
 constexpr auto kShareIncreaseDelay = std::chrono::seconds(2);
 constexpr std::string_view kEngineKind = "engine";
 
@@ -81,10 +83,11 @@
 OrderService::SyncWithView(const ClusterView& aView)
 {
   const StoreLeaseId lease = host_.ClusterState().Lease();
-  // Without a lease we stay owners by the numbers that we have shown; what
-  // needs the lease is bounded by its end.
+  // Without a lease this instance stays owner under its known fencing numbers;
+  // actions that need the lease are bounded by its expiry.
   if (lease != 0 && lease != lease_) {
-    // What we owned went with the last lease, whatever the view still says.
+    // All ownership expired with the previous lease, even if the view still
+    // lists it.
     for (const auto& [id, rule] : aView.rules_->upstreams_) {
       rollout_.OnLost(id);
     }
@@ -205,7 +208,7 @@
     }
     return;
   }
-  // A record of a lease that is no longer ours is about to go.
+  // A record under a previous lease of this instance is about to expire.
   if (owner->lease_ != lease_) {
     return;
   }
@@ -237,7 +240,7 @@
       local.push_back(id);
     }
   }
-  // No more owners than switch slots: each has to have one at least.
+  // At most as many owners as switch slots: each needs at least one slot.
   const std::uint64_t zones = aService.zones_.size();
   const bool byZone = !local.empty() && aService.slots_ >= zones;
   const std::uint64_t maxOwners =
@@ -271,7 +274,7 @@
     return;
   }
   claimRetryAt_[aRule.id_] = now + kClaimRetryDelay;
-  // Its outcome shows in the view, with the lease that it hangs on.
+  // The view shows the outcome, with the lease that the record belongs to.
   owners_.Acquire(DutyOf(aRule.id_), [](const Result<Ownership>&) {});
 }
 
--- a/src/programs/controld/order_service.hpp
+++ b/src/programs/controld/order_service.hpp
@@ -1,4 +1,4 @@
-/// Drives the rollout of the upstreams that this process owns.
+/// Runs the rollout of the upstreams that this process owns.
 #pragma once
 
 #include "programs/controld/order_sender.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// Orders to engines. Thread-safe.
+/// Claims upstreams and sends them orders. Thread-safe.
 class OrderService
 {
 public:
@@ -16,36 +16,38 @@
   void Start();
 
 private:
-  /// Owners of one service's upstreams, and what follows from them.
+  /// Upstreams of one service, their zones, owners and switch slots.
   struct ServiceOwners
   {
     std::uint64_t upstreams_ = 0;
     std::set<ZoneId> zones_;
-    /// Present owners.
+    /// Instances that own at least one upstream of the service.
     std::set<InstanceId> currentOwners_;
+    /// Upstreams of the service that may switch versions at once.
     std::uint64_t slots_ = 0;
   };
   using ServiceMap = std::map<ServiceId, ServiceOwners>;
 
   void Tick();
-  /// Takes what the cluster's view says into the rollout.
+  /// Updates the rollout from the cluster view.
   void SyncWithView(const ClusterView& aView);
   [[nodiscard]] static ServiceMap CollectServices(const ClusterView& aView);
   void SetPolicy(const ClusterView& aView);
   void SetGoals(const ClusterView& aView, const ServiceMap& aServices);
-  /// Owns, loses, claims or hands over one upstream.
+  /// Updates the rollout with the owner of one upstream; claims it or hands it
+  /// over if needed.
   void UpdateOwnership(const ClusterView& aView,
                        const ServiceOwners& aService,
                        const UpstreamRule& aRule);
   [[nodiscard]] InstanceId PreferredFor(const ClusterView& aView,
                                         const ServiceOwners& aService,
                                         const UpstreamRule& aRule) const;
-  /// The role that an engine is to have.
+  /// @returns the role that an engine should have
   [[nodiscard]] static std::string RoleFor(const ClusterView& aView,
                                            const UpstreamRule& aRule);
   void Claim(const UpstreamRule& aRule);
-  /// Gives an upstream up for its preferred owner once that has been clear
-  /// for a while and nothing is in progress.
+  /// Deletes this instance's owner record of an upstream once another instance
+  /// has been preferred for a while and no order is in progress.
   void HandOver(const UpstreamId& aUpstream, FencingNumber aTerm);
   void Perform(const RolloutAction& aAction);
   void LogNotice(const RolloutNotice& aNotice);
@@ -58,9 +60,10 @@
   StoreLeaseId lease_ = 0;
   TimePoint nextSync_;
   std::map<ServiceId, SteadyShare> shares_;
-  /// When a claim may be made again; the view lags behind the store.
+  /// When a claim may be repeated; the view lags behind the store.
   std::map<UpstreamId, TimePoint> claimRetryAt_;
-  /// Since when another instance is the preferred owner of one of ours.
+  /// Since when another instance is the preferred owner of an upstream that
+  /// this instance owns.
   std::map<UpstreamId, TimePoint> preferredElsewhere_;
 };
 
--- a/src/programs/controld/owners.hpp
+++ b/src/programs/controld/owners.hpp
@@ -1,5 +1,5 @@
-/// Acquires duties by records in the store that live as long as this
-/// process's lease.
+/// Acquires duties by creating owner records in the store, which expire with
+/// this process's lease.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -8,17 +8,18 @@
 
 namespace marjoramtally {
 
-/// What came of trying to own a duty.
+/// Outcome of an attempt to acquire a duty.
 struct Ownership
 {
+  /// Whether this instance owns the duty.
   bool mine_ = false;
-  /// Fencing number if it is mine.
+  /// Fencing number if this instance owns the duty.
   FencingNumber term_;
-  /// The owner's RPC address if it is another's.
+  /// RPC address of the owner if another instance owns the duty.
   std::string owner_;
 };
 
-/// Duties of this process. Thread-safe.
+/// Tracks the duties that this process owns. Thread-safe.
 class Owners
 {
 public:
@@ -27,20 +28,20 @@
   {
   }
 
-  /// Finds the owner of a duty or becomes it.
+  /// Looks up the owner of a duty; acquires the duty if it has none.
   void Acquire(const std::string& aDuty,
                std::function<void(Result<Ownership>)> aDone);
-  /// As `Acquire`, but a duty that was ours stays ours until another owner
-  /// is seen, even if the store lost the record (its lease lapsed while the
-  /// store was down); the record is then made anew meanwhile. Only for
-  /// duties that two owners may carry out at once without harm.
+  /// Like `Acquire`, but keeps a duty that this process owned until another
+  /// owner is seen, even if its record is gone because the lease expired while
+  /// the store was down. The record is then recreated in the background. Only
+  /// for duties that two owners may safely carry out at the same time.
   void AcquireOrKeep(const std::string& aDuty,
                      std::function<void(Result<Ownership>)> aDone);
-  /// @returns whether another instance is known to own the duty
+  /// @returns whether the view shows another instance as owner of the duty
   [[nodiscard]] bool Lost(const std::string& aDuty);
 
 private:
-  /// @returns our term of a duty that the store has no record of
+  /// @returns the term of a duty of this process whose owner record is gone
   [[nodiscard]] std::optional<FencingNumber> RetainedTerm(
     const std::string& aDuty);
   void Renew(const std::string& aDuty, FencingNumber aTerm);
@@ -51,9 +52,9 @@
 
   Host& host_;
   std::mutex mutex_;
-  /// Terms of the duties that are ours, kept through store outages.
+  /// Terms of the duties of this process, kept through store outages.
   std::map<std::string, FencingNumber> mine_;
-  /// Duties whose record is being made anew.
+  /// Duties whose owner record is being recreated.
   std::set<std::string> renewing_;
 };
 
--- a/src/programs/controld/trainer_operations.cpp
+++ b/src/programs/controld/trainer_operations.cpp
@@ -72,7 +72,8 @@
   const auto rules = host_.ClusterState().View()->rules_;
   const auto rule = rules->trainers_.find(aRequest.trainer_);
   if (!IsLoaded(*rules)) {
-    // An entry asks another process then; `NotFound` it would pass on.
+    // On `Unavailable` an entry retries at another process; it would return
+    // `NotFound` to the trainer.
     aDone(Error{ ErrorKind::Unavailable, "no rules are known here yet" });
     return;
   }
--- a/src/programs/controld/trainer_service.cpp
+++ b/src/programs/controld/trainer_service.cpp
@@ -96,8 +96,8 @@
     return;
   }
   stored.writing_ = true;
-  // The store may answer within the call, and the answer takes the lock that
-  // is held here.
+  // The store may invoke the callback within the call, and the callback takes
+  // the lock that is held here.
   host_.TimerQueue().After(
     Duration::zero(),
     [this, model = aState.rule_.model_, id = aState.rule_.id_, newest] {
--- a/src/programs/controld/trainer_service.hpp
+++ b/src/programs/controld/trainer_service.hpp
@@ -1,5 +1,5 @@
-/// Serves the trainers that this process owns: opens steps, keeps their
-/// ledgers filled with candidates, answers takes.
+/// Serves the trainers that this process owns: opens steps, fills their ledgers
+/// with candidates and answers takes.
 #pragma once
 
 #include "marjoramtally/version.hpp"
@@ -12,29 +12,29 @@
 
 namespace impl {
 
-/// Pauses before a failed generation or write to the store is tried again.
+/// Backoff before a failed generation or store write is retried.
 inline constexpr auto kInitialBackoff = std::chrono::milliseconds(50);
 inline constexpr auto kMaxBackoff = std::chrono::seconds(2);
 
-/// @returns the duty of serving a trainer
+/// @returns the name of the duty to serve a trainer
 [[nodiscard]] std::string
 DutyOf(const TrainerId& aTrainer);
-/// @returns what a take of a step that is not open here is told
+/// @returns the error for a take of a step that is not open in this process
 [[nodiscard]] Error
 StepNotOpen(StepId aStep);
 
 } // namespace impl
 
-/// Ledgers of this process. Thread-safe.
+/// Owns the trainer ledgers of this process. Thread-safe.
 class TrainerService
 {
 public:
   TrainerService(Host& aHost, Owners& aOwners);
 
   void Start();
-  /// Serves one operation.
+  /// Serves one operation, or redirects it to the trainer's owner.
   void Serve(TrainerRequest aRequest, std::string aTrace, RpcDone aDone);
-  /// @returns whether takes are waiting
+  /// @returns whether any take is waiting for samples
   [[nodiscard]] bool Busy() const;
 
 private:
@@ -44,9 +44,10 @@
     TimePoint until_;
     RpcDone done_;
   };
-  /// What the platform's store knows of the announced versions.
+  /// State of writing the announced version to the platform's store.
   struct StoredVersion
   {
+    /// Newest version known to be stored.
     WeightVersion version_;
     /// Whether a write is in progress.
     bool writing_ = false;
@@ -60,12 +61,12 @@
     TrainerLedger ledger_;
     std::optional<WaitingTake> waiting_;
     std::string trace_;
-    /// Pauses after failed generations.
+    /// Backoff after failed generations.
     Backoff backoff_{ impl::kInitialBackoff, impl::kMaxBackoff, 2 };
     StoredVersion stored_;
   };
 
-  /// Makes sure that the announced versions are known, then applies.
+  /// Loads the announced versions if needed, then applies the request.
   void Prepare(const TrainerRequest& aRequest,
                const std::string& aTrace,
                FencingNumber aTerm,
@@ -78,16 +79,17 @@
              const std::string& aTrace,
              RpcDone aDone);
   void Open(TrainerState& aState, const StepSpec& aSpec, const RpcDone& aDone);
-  /// Brings back the candidates of a step that this instance kept on disk.
+  /// Restores the candidates of a step from this instance's disk.
   void Restore(TrainerState& aState, const StepSpec& aSpec);
   void Close(TrainerState& aState, StepId aStep, const RpcDone& aDone);
   void Take(TrainerState& aState, TakeSamples aTake, RpcDone aDone);
-  /// An announcement holds here at once; the store is told as soon as it can
-  /// be, and a take at the version repeats it to a later owner.
+  /// Applies an announcement here at once and writes it to the store as soon as
+  /// possible. If that write is lost, a take at the version repeats the
+  /// announcement to a later owner.
   void Announce(TrainerState& aState,
                 WeightVersion aVersion,
                 const RpcDone& aDone);
-  /// Writes the newest version to the store, without the lock.
+  /// Schedules a write of the newest version to the store, outside the lock.
   void StoreVersion(TrainerState& aState);
   void WriteVersion(const std::string& aModel,
                     const TrainerId& aTrainer,
@@ -96,11 +98,12 @@
                         WeightVersion aVersion,
                         const Result<bool>& aStored);
   void Tick();
-  /// Drops ledgers whose trainer another instance owns.
+  /// Drops the ledgers of trainers that another instance owns.
   void DropLostTrainers();
-  /// Answers the waiting take if it has samples or waited long enough.
+  /// Answers the waiting take if samples are available, the step is finished or
+  /// its wait has expired.
   void AnswerTake(TrainerState& aState);
-  /// Starts generations up to the limit.
+  /// Starts generations up to the trainer's in-flight limit.
   void StartGenerations(TrainerState& aState);
   void StartGeneration(TrainerState& aState, const GenerationStart& aStart);
   [[nodiscard]] CandidateEvents MakeEvents(const TrainerId& aTrainer,
@@ -110,7 +113,7 @@
                          const SampleId& aSample,
                          const Error& aError);
   void CountTokens(TrainerState& aState);
-  /// @returns the state of a trainer that is owned here, else null
+  /// @returns the state of a trainer owned by this process, else null
   [[nodiscard]] TrainerState* Find(const TrainerId& aTrainer);
 
   Host& host_;
--- a/src/programs/controld/version_announcer.cpp
+++ b/src/programs/controld/version_announcer.cpp
@@ -9,15 +9,16 @@
 
 using Json = nlohmann::json;
 
-/// A version record as it stands in the store.
+/// A parsed version record.
 struct VersionRecord
 {
   std::uint64_t modRevision_ = 0;
-  /// Versions announced, oldest first, at most as many as are remembered.
+  /// Announced versions, oldest first, at most `VersionHistory::kMaxVersions`
+  /// as stored.
   std::vector<WeightVersion> announced_;
 };
 
-/// @returns whether the body is one of a version record
+/// @returns whether the body is a valid version record
 bool
 ReadAnnounced(const Json& aBody, std::vector<WeightVersion>& aAnnounced)
 {
@@ -42,8 +43,8 @@
   return true;
 }
 
-/// A record that cannot be read is not one of no versions: what is announced
-/// next might be lower than what it says.
+/// A record that cannot be parsed is an error and does not count as empty: the
+/// next announcement could otherwise be lower than a version it holds.
 Result<VersionRecord>
 ReadRecord(const std::string& aKey, const StoreRange& aRead)
 {
--- a/src/programs/controld/version_announcer.hpp
+++ b/src/programs/controld/version_announcer.hpp
@@ -1,12 +1,12 @@
-/// Keeps the announced weight versions of models in the platform's store.
+/// Stores the announced weight versions of models in the platform's store.
 #pragma once
 
 #include "daemon/host.hpp"
 
 namespace marjoramtally {
 
-/// Reads and raises versions; those of a record that cannot be read are an
-/// error, not none. Thread-safe.
+/// Reads and raises announced versions. A record that cannot be parsed is an
+/// error rather than an empty history. Thread-safe.
 class VersionAnnouncer
 {
 public:
@@ -15,10 +15,10 @@
   {
   }
 
-  /// Reads the versions of a model that were announced, oldest first.
+  /// Reads the announced versions of a model, oldest first.
   void Load(const std::string& aModel,
             std::function<void(Result<std::vector<WeightVersion>>)> aDone);
-  /// Raises a model's version; one that is as high already stays.
+  /// Raises a model's version; does nothing if it is already as high.
   void Announce(const std::string& aModel,
                 WeightVersion aVersion,
                 std::function<void(Result<bool>)> aDone);
