--- a/src/programs/ctl/commands.hpp
+++ b/src/programs/ctl/commands.hpp
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// What the command line gave.
+/// Parsed command line.
 struct CommandInput
 {
   /// Arguments after the command's name.
@@ -15,14 +15,14 @@
   std::string traceDir_;
   /// Key to explain.
   std::string explain_;
-  /// Name that edits carry.
+  /// Author recorded with edits.
   std::string author_;
   /// Bearer token for routes that need one.
   std::string token_;
   bool json_ = false;
-  /// Wait until every live instance has the revision.
+  /// Wait until the revision is in force at every live instance.
   bool wait_ = false;
-  /// Put a drained upstream back.
+  /// Return a drained upstream to service.
   bool undo_ = false;
 };
 
--- a/src/programs/ctl/edit_commands.cpp
+++ b/src/programs/ctl/edit_commands.cpp
@@ -20,7 +20,8 @@
   return false;
 }
 
-/// Adds what turns one manifest into a folder's files, file by file.
+/// Adds the per-file changes that turn the files of a manifest into those of a
+/// folder.
 void
 AddDifferences(ConfigEdit& aEdit,
                const Manifest& aBase,
@@ -40,7 +41,7 @@
   }
 }
 
-/// Builds the edit that brings accepted files back to an older revision's.
+/// Builds the edit that restores the files of an older revision.
 Result<ConfigEdit>
 MakeRevert(Session& aSession,
            const CommandInput& aInput,
@@ -207,7 +208,8 @@
   if (!files) {
     return PrintFailure(files.error());
   }
-  // The last file that has the key, else the one that has the address.
+  // Edits the last file that sets the key, else the last one that sets the
+  // address.
   auto origins = ExplainKey(files.value(), section + ".leaving");
   if (origins.empty()) {
     origins = ExplainKey(files.value(), section + ".address");
--- a/src/programs/ctl/explain_command.cpp
+++ b/src/programs/ctl/explain_command.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// So many lines of one event of one process are printed; a process that lost
-/// the store tells so several times a second.
+/// Lines printed per event and process: a process that lost its connection to
+/// the store logs the event several times per second.
 constexpr std::size_t kMaxSimilarLines = 2;
 
 void
--- a/src/programs/ctl/folder.cpp
+++ b/src/programs/ctl/folder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Beside the rules; holds the manifest that they are based on.
+/// File in the rules folder that holds the manifest the folder is based on.
 constexpr std::string_view kBaseFile = "/.accepted.json";
 
 } // namespace
--- a/src/programs/ctl/folder.hpp
+++ b/src/programs/ctl/folder.hpp
@@ -1,4 +1,4 @@
-/// A rules folder on the operator's side.
+/// Reads an operator's local rules folder.
 #pragma once
 
 #include "daemon/manifest.hpp"
@@ -13,16 +13,16 @@
 [[nodiscard]] std::optional<std::vector<RulesFile>>
 LoadChecked(const std::string& aFolder);
 
-/// Reads which contents the folder's files are based on.
+/// Reads the manifest of the accepted revision that the folder is based on.
 /// @returns nothing if the folder was never pulled or pushed
 [[nodiscard]] std::optional<Manifest>
 ReadBase(const std::string& aFolder);
 
-/// Notes that the folder's files are those of an accepted revision.
+/// Records that the folder's files are those of an accepted revision.
 [[nodiscard]] Result<bool>
 WriteBase(const std::string& aFolder, const Manifest& aBase);
 
-/// @returns a manifest of files as they stand in a folder
+/// @returns a manifest of the given files
 [[nodiscard]] Manifest
 ManifestOf(const std::vector<RulesFile>& aFiles);
 
--- a/src/programs/ctl/main.cpp
+++ b/src/programs/ctl/main.cpp
@@ -13,7 +13,7 @@
 using namespace marjoramtally;
 namespace po = boost::program_options;
 
-/// One command and what runs it.
+/// A command, its help and the function that runs it.
 struct Command
 {
   std::string_view name_;
@@ -65,7 +65,7 @@
   "\nAn operator's token is read from the environment's MARJORAM_TOKEN.\n"
   "\nExit codes: 0 done, 1 failed, 2 bad input.\n";
 
-/// @returns the operator's name, as far as the system tells
+/// @returns the operator's login name, or "unknown"
 std::string
 DefaultAuthor()
 {
@@ -73,7 +73,8 @@
   return user == nullptr ? "unknown" : user;
 }
 
-/// Tokens come by the environment, where other users do not see them.
+/// Reads the token from the environment: unlike arguments, it is not visible to
+/// other users there.
 std::string
 TokenOfEnvironment()
 {
--- a/src/programs/ctl/session.cpp
+++ b/src/programs/ctl/session.cpp
@@ -14,12 +14,12 @@
 
 constexpr auto kStoreTimeout = std::chrono::seconds(5);
 constexpr auto kQueryTimeout = std::chrono::seconds(1);
-/// Longest wait for a revision to be in force.
+/// Timeout for a revision to be in force at every live instance.
 constexpr auto kInForceTimeout = std::chrono::seconds(15);
 constexpr auto kInForcePollPeriod = std::chrono::milliseconds(100);
-/// Instances asked whether the store came back older.
+/// Instances queried to detect a store that was restored from an older copy.
 constexpr int kMaxQueriedInstances = 3;
-/// Every so many revisions an editor deletes unused contents.
+/// Every edit whose revision is a multiple of this deletes unused contents.
 constexpr std::uint64_t kRevisionsPerSweep = 64;
 
 std::uint64_t
@@ -30,7 +30,8 @@
   return body.is_object() ? body.value("revision", std::uint64_t{ 0 }) : 0;
 }
 
-/// A store that cannot be opened is told of; calls to it then fail.
+/// Prints an error if the store cannot be opened; all calls to the returned
+/// store then fail.
 std::unique_ptr<Store>
 OpenOrReport(HttpClient& aClient, const std::string& aAddress)
 {
@@ -88,9 +89,10 @@
   return result.response_.body_;
 }
 
-/// A store that came back older must not take edits: instances would hold
-/// their higher revision. Instances are asked first, since the manifest
-/// never lags behind them otherwise.
+/// A store that was restored from an older copy must not accept edits, because
+/// instances would keep their higher revision. Instances are queried before the
+/// manifest is read: in a store that was not restored, the manifest is then
+/// never older than what they report.
 Result<bool>
 Session::CheckStoreNotOlder()
 {
--- a/src/programs/ctl/session.hpp
+++ b/src/programs/ctl/session.hpp
@@ -1,4 +1,4 @@
-/// One run of a command against the store.
+/// Connects one run of a command to the store and to instances.
 #pragma once
 
 #include "daemon/cluster.hpp"
@@ -7,7 +7,7 @@
 
 namespace marjoramtally {
 
-/// Client, store and timers of one command.
+/// HTTP client, store and timers of one command.
 class Session
 {
 public:
@@ -18,16 +18,17 @@
   [[nodiscard]] Result<StoredManifest> Accepted();
   /// @returns the records under the live prefix
   [[nodiscard]] Result<std::vector<StoreRecord>> Live();
-  /// Submits an edit, prints how it ended and, if wanted, waits until it
-  /// is in force.
+  /// Submits an edit, prints its outcome and, with `--wait`, waits until it is
+  /// in force.
   /// @returns the program's exit code
   int Submit(ConfigEdit aEdit);
-  /// Reads what an instance says of itself.
-  /// @returns nothing if it does not answer
+  /// Fetches a path from an instance.
+  /// @returns the body, or nothing without a complete response of status 200
   [[nodiscard]] std::optional<std::string> Query(const std::string& aAddress,
                                                  const std::string& aPath);
 
 private:
+  /// @returns an error if the store was restored from an older copy
   [[nodiscard]] Result<bool> CheckStoreNotOlder();
   int Report(const EditResult& aEnd);
   int WaitUntilInForce(ConfigRevision aRevision);
@@ -38,7 +39,7 @@
   Timers timers_;
 };
 
-/// One live instance as it registered itself.
+/// A live instance, from its registration in the store.
 struct LiveInstance
 {
   std::string id_;
@@ -51,7 +52,7 @@
 ListInstances(const std::vector<StoreRecord>& aLive);
 
 /// Prints an error.
-/// @returns the exit code of a failure
+/// @returns the exit code for failure
 int
 PrintFailure(const Error& aError);
 
--- a/src/programs/ctl/trace_command.cpp
+++ b/src/programs/ctl/trace_command.cpp
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-/// Spans of one trace as the files hold them.
+/// Reads the spans of one trace from a folder's files, sorted by start time.
 std::vector<Json>
 ReadSpans(const std::string& aFolder, const std::string& aTrace)
 {
--- a/src/programs/ctl/view_commands.cpp
+++ b/src/programs/ctl/view_commands.cpp
@@ -45,7 +45,7 @@
   return out;
 }
 
-/// Prints rows of equal keys, as a table or as JSON.
+/// Prints rows that share the same keys, as lines of key=value or as JSON.
 void
 PrintRows(const CommandInput& aInput, const Json& aRows)
 {
@@ -82,7 +82,7 @@
   return names;
 }
 
-/// Lists keys whose merged values differ.
+/// Lists the keys whose merged values differ.
 Json
 DiffKeys(const IniDocument& aBefore, const IniDocument& aAfter)
 {
@@ -113,7 +113,7 @@
   return rows;
 }
 
-/// What one instance says of its configuration.
+/// Describes one instance and the configuration that it reports.
 Json
 DescribeInstance(Session& aSession, const LiveInstance& aInstance)
 {
