--- a/tests/control_fixture.hpp
+++ b/tests/control_fixture.hpp
@@ -1,4 +1,4 @@
-/// A control process on an embedded store in a folder of its own.
+/// A control process with an embedded store in a temporary folder.
 #pragma once
 
 #include "programs/controld/owners.hpp"
@@ -10,7 +10,7 @@
 
 namespace marjoramtally::test {
 
-/// What a service of the control daemon stands on.
+/// Host and owner records that the services of the control daemon need.
 struct ControlProcess
 {
   std::string folder_;
@@ -46,7 +46,7 @@
     return settings;
   }
 
-  /// Calls to the store end on its own thread.
+  /// Polls, because calls to the store complete on the store's thread.
   template<typename Condition>
   static bool Wait(const Condition& aCondition)
   {
--- a/tests/test_allocation_service.cpp
+++ b/tests/test_allocation_service.cpp
@@ -1,4 +1,4 @@
-/// The allocation of engines at a process that begins to own it.
+/// Tests the allocation of engines after a change of its owner.
 
 #include "control_fixture.hpp"
 #include "programs/controld/allocation_service.hpp"
@@ -59,12 +59,12 @@
 
 } // namespace
 
-// Engines were ordered from a trainer to live callers and back while nothing
-// had changed. The order: the owner of the allocation ended; the next one
-// owned it before its view held the roles that were published last, since its
-// reading of the store's records had failed or was older. Cause: roles that
-// were not read yet counted as no allocation, and a new one was published.
-TEST_CASE("the next owner of an allocation keeps it, also if not read yet")
+// Guards against engines being ordered from a trainer to live callers and back
+// although nothing changed. The owner of the allocation ends, and the next
+// owner acquires it before its view holds the last published roles, because its
+// read of the store's records failed or was older. Roles that were not read yet
+// must not count as an empty allocation, or a new one would be published.
+TEST_CASE("a new owner of an allocation keeps roles that its view lacks")
 {
   Process process;
   process.Put(kRoles, R"({"e0":"live","e1":"t"})");
--- a/tests/test_control_faults.cpp
+++ b/tests/test_control_faults.cpp
@@ -1,4 +1,5 @@
-/// Control processes on stores that refuse or hold what cannot be read.
+/// Tests control processes with a store that refuses calls or holds unreadable
+/// records.
 
 #include "control_fixture.hpp"
 #include "programs/controld/trainer_service.hpp"
@@ -36,7 +37,7 @@
     return rules;
   }
 
-  /// @returns empty if there is no such record, or it could not be read now
+  /// @returns the value, or empty if there is no such record or the read failed
   std::string Value(const std::string& aKey)
   {
     std::promise<std::string> text;
@@ -57,7 +58,8 @@
     return answer.get_future().get();
   }
 
-  /// Until the next readings are refused within their calls.
+  /// Spends the budget of store calls, so that further reads are refused within
+  /// the call.
   void ExhaustBudget()
   {
     const auto refused = [this] {
@@ -68,7 +70,8 @@
     };
     while (!refused()) {
     }
-    // These are never refused; they have to be earned back first.
+    // Revocations are never refused; they overdraw the budget, which then needs
+    // longer to refill.
     for (StoreLeaseId lease = 1'000'000; lease < 1'000'008; ++lease) {
       host_.PlatformStore().RevokeLease(lease, [](const Result<bool>&) {});
     }
@@ -77,13 +80,14 @@
 
 } // namespace
 
-// A control process answered nothing more, not even that it was alive. The
-// order: it had spent its budget of calls to the store when a trainer announced
-// a version. Cause: such a reading is refused within the call, the version was
-// stored under the ledgers' lock, and the refusal takes that lock too.
-TEST_CASE("an announcement while the store's budget is spent is answered")
+// Guards against a deadlock after which a control process answers nothing, not
+// even health checks. A trainer announces a version while the budget of store
+// calls is exhausted. The store read is then refused within the call, and its
+// callback takes the ledgers' lock, so the lock must not be held during the
+// call.
+TEST_CASE("an announcement is answered while the store budget is exhausted")
 {
-  // Not destroyed when it hangs.
+  // Released instead of destroyed if it hangs.
   auto process = std::make_unique<Process>();
   REQUIRE(process->Request(GetProgress{}));
   process->ExhaustBudget();
@@ -99,7 +103,7 @@
   }
   REQUIRE(answeredInTime);
   REQUIRE(answer.get());
-  // The store is told once the process may call it again.
+  // The version is stored once the budget allows calls again.
   process->trainers_.Start();
   REQUIRE(Process::Wait([&process] {
     std::this_thread::sleep_for(300ms);
@@ -108,10 +112,11 @@
   }));
 }
 
-// All trainers of a control process lost their ledgers. The order: it asked who
-// owned a duty, and that record could not be made sense of. Cause: a field of
-// what is no object was asked for in a callback, which ended the process.
-TEST_CASE("an owner record that cannot be read ends no process")
+// Guards against a crash that loses the ledgers of all trainers of a control
+// process. It reads an owner record that is not a valid JSON object of the
+// expected fields. Accessing a field of another JSON type throws in a callback,
+// which ends the process.
+TEST_CASE("an unreadable owner record is reported and does not end the process")
 {
   const std::string value = GENERATE("", "no object", "[]", R"({"owner":1})");
   Process process;
@@ -126,11 +131,11 @@
   REQUIRE(owner.error().message_.find(kDuty) != std::string::npos);
 }
 
-// An engine was ordered to a version below the one that it served. The order:
-// the record of a model's version could not be read when its trainer announced
-// one. Cause: a record that cannot be read counted as one of no versions, over
-// which every version rises.
-TEST_CASE("a version record that cannot be read is not written over")
+// Guards against an engine being ordered to a version below the one it serves.
+// A trainer announces a version while the model's version record is unreadable.
+// Such a record must not count as empty, because any version is higher than
+// none and would overwrite it.
+TEST_CASE("an unreadable version record is not overwritten")
 {
   const std::string value = GENERATE("unreadable",
                                      R"({"version":"7"})",
