--- a/src/daemon/counted_store.cpp
+++ b/src/daemon/budgeted_store.cpp
@@ -1,4 +1,4 @@
-#include "daemon/counted_store.hpp"
+#include "daemon/budgeted_store.hpp"
 
 #include <mutex>
 
@@ -6,12 +6,12 @@
 
 namespace {
 
-class CountedStore final : public Store
+class BudgetedStore final : public Store
 {
 public:
-  CountedStore(std::unique_ptr<Store> aStore,
-               StoreRate aRate,
-               Metrics& aMetrics)
+  BudgetedStore(std::unique_ptr<Store> aStore,
+                StoreRate aRate,
+                Metrics& aMetrics)
     : store_(std::move(aStore))
     , budget_(aRate.perSecond_, aRate.burst_)
     , metrics_(aMetrics)
@@ -20,7 +20,7 @@
 
   void Read(std::string aPrefix, StoreDone<StoreRange> aDone) override
   {
-    if (!Take(StoreCallKind::Read)) {
+    if (!Charge(StoreCallKind::Read)) {
       aDone(Error{ ErrorKind::Unavailable, "the store's budget is spent" });
       return;
     }
@@ -29,25 +29,25 @@
 
   void Commit(StoreTxn aTxn, StoreDone<StoreCommit> aDone) override
   {
-    Take(StoreCallKind::Write);
+    Charge(StoreCallKind::Write);
     store_->Commit(std::move(aTxn), std::move(aDone));
   }
 
   void GrantLease(Duration aTtl, StoreDone<StoreLease> aDone) override
   {
-    Take(StoreCallKind::Lease);
+    Charge(StoreCallKind::Lease);
     store_->GrantLease(aTtl, std::move(aDone));
   }
 
   void KeepAlive(StoreLeaseId aLease, StoreDone<StoreLease> aDone) override
   {
-    Take(StoreCallKind::Lease);
+    Charge(StoreCallKind::Lease);
     store_->KeepAlive(aLease, std::move(aDone));
   }
 
   void RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone) override
   {
-    Take(StoreCallKind::Lease);
+    Charge(StoreCallKind::Lease);
     store_->RevokeLease(aLease, std::move(aDone));
   }
 
@@ -56,7 +56,7 @@
     std::uint64_t aFromRevision,
     std::function<void(const StoreWatchBatch&)> aOnBatch) override
   {
-    if (!Take(StoreCallKind::Watch)) {
+    if (!Charge(StoreCallKind::Watch)) {
       aOnBatch(StoreWatchBatch{ true, false, 0, {} });
       return 0;
     }
@@ -67,16 +67,16 @@
   void StopWatch(StoreWatchId aWatch) override { store_->StopWatch(aWatch); }
 
 private:
-  bool Take(StoreCallKind aKind)
+  bool Charge(StoreCallKind aKind)
   {
     const std::string label = "{kind=\"" + std::string(ToString(aKind)) + "\"}";
-    bool taken = false;
+    bool allowed = false;
     {
       const std::lock_guard lock(mutex_);
-      taken = budget_.Take(aKind, clock_.Now());
+      allowed = budget_.Take(aKind, clock_.Now());
     }
-    metrics_.Count((taken ? "store_calls" : "store_calls_refused") + label);
-    return taken;
+    metrics_.Count((allowed ? "store_calls" : "store_calls_refused") + label);
+    return allowed;
   }
 
   std::unique_ptr<Store> store_;
@@ -89,11 +89,11 @@
 } // namespace
 
 std::unique_ptr<Store>
-MakeCountedStore(std::unique_ptr<Store> aStore,
-                 StoreRate aRate,
-                 Metrics& aMetrics)
+MakeBudgetedStore(std::unique_ptr<Store> aStore,
+                  StoreRate aRate,
+                  Metrics& aMetrics)
 {
-  return std::make_unique<CountedStore>(std::move(aStore), aRate, aMetrics);
+  return std::make_unique<BudgetedStore>(std::move(aStore), aRate, aMetrics);
 }
 
 } // namespace marjoramtally
--- a/src/daemon/counted_store.hpp
+++ b/src/daemon/budgeted_store.hpp
@@ -19,8 +19,8 @@
 /// Wraps a store. Refused reads fail as `Unavailable`; a refused watch ends
 /// at once. Both arguments outlive the result.
 [[nodiscard]] std::unique_ptr<Store>
-MakeCountedStore(std::unique_ptr<Store> aStore,
-                 StoreRate aRate,
-                 Metrics& aMetrics);
+MakeBudgetedStore(std::unique_ptr<Store> aStore,
+                  StoreRate aRate,
+                  Metrics& aMetrics);
 
 } // namespace marjoramtally
--- a/src/daemon/cluster.hpp
+++ b/src/daemon/cluster.hpp
@@ -91,7 +91,7 @@
   [[nodiscard]] StoreLeaseId Lease() const { return session_.Lease(); }
   /// @returns the time until which the session lease is certain to be valid:
   /// the send time of the last confirmed renewal plus the time to live
-  [[nodiscard]] TimePoint LeaseUntil() const { return session_.Until(); }
+  [[nodiscard]] TimePoint LeaseUntil() const { return session_.ExpiresAt(); }
   /// Adds a listener that is called after each change of the view and once
   /// per refresh period.
   void OnRefresh(std::function<void(const ClusterViewPtr&)> aListener);
--- a/src/daemon/config_relay.hpp
+++ b/src/daemon/config_relay.hpp
@@ -12,7 +12,8 @@
   virtual ~ConfigRelay() = default;
   /// A peer has this revision in force: fetches it if it is higher.
   /// @param aPeer the peer's RPC address
-  virtual void OnHeard(ConfigRevision aRevision, const std::string& aPeer) = 0;
+  virtual void OnReceivedRevision(ConfigRevision aRevision,
+                                  const std::string& aPeer) = 0;
   /// @returns the revision in force here
   [[nodiscard]] virtual ConfigRevision Revision() const = 0;
 };
--- a/src/daemon/config_service.cpp
+++ b/src/daemon/config_service.cpp
@@ -153,7 +153,8 @@
 }
 
 void
-ConfigService::OnHeard(ConfigRevision aRevision, const std::string& aPeer)
+ConfigService::OnReceivedRevision(ConfigRevision aRevision,
+                                  const std::string& aPeer)
 {
   peers_.OnReceivedRevision(aRevision, aPeer);
 }
--- a/src/daemon/config_service.hpp
+++ b/src/daemon/config_service.hpp
@@ -29,7 +29,8 @@
   void Start(RpcNode& aNode);
   /// Stops making calls to peers.
   void Stop();
-  void OnHeard(ConfigRevision aRevision, const std::string& aPeer) override;
+  void OnReceivedRevision(ConfigRevision aRevision,
+                          const std::string& aPeer) override;
   [[nodiscard]] ConfigRevision Revision() const override;
   /// Handles one call of the configuration topic.
   void Serve(const RpcCall& aCall, RpcDone aDone);
--- a/src/daemon/gateway_context.hpp
+++ b/src/daemon/gateway_context.hpp
@@ -31,10 +31,10 @@
 };
 
 /// Opens doors whose requests are handled on the loop.
-class Doors
+class Listeners
 {
 public:
-  virtual ~Doors() = default;
+  virtual ~Listeners() = default;
   /// @returns an error naming the address if it cannot be bound
   [[nodiscard]] virtual Result<std::unique_ptr<HttpServer>> Serve(
     const ListenAddress& aAddress,
--- a/src/daemon/gateway_host.cpp
+++ b/src/daemon/gateway_host.cpp
@@ -17,11 +17,11 @@
 
 /// The end is not left to the forced kill: this long before it the process
 /// ends by itself.
-constexpr auto kEndMargin = std::chrono::milliseconds(700);
+constexpr auto kExitMargin = std::chrono::milliseconds(700);
 /// How often the end of the last request is looked for.
-constexpr auto kIdleCheck = std::chrono::milliseconds(100);
+constexpr auto kIdlePollInterval = std::chrono::milliseconds(100);
 /// For the way of a relay's answer, beyond the time it holds it back.
-constexpr auto kRelaySlack = std::chrono::milliseconds(300);
+constexpr auto kRelayCallSlack = std::chrono::milliseconds(300);
 /// The metrics' reader sends no body.
 constexpr std::uint64_t kMetricsBodyBytes = 1024;
 
@@ -38,7 +38,7 @@
   {
     auto node = RpcNode::Start(
       aAddress, aPort, [this](const RpcCall& aCall, const RpcDone& aDone) {
-        pool_.Post(0, [this, aCall, aDone] { Take(aCall, aDone); });
+        pool_.Post(0, [this, aCall, aDone] { Dispatch(aCall, aDone); });
       });
     if (!node) {
       return node.error();
@@ -68,7 +68,7 @@
   }
 
 private:
-  void Take(const RpcCall& aCall, const RpcDone& aDone)
+  void Dispatch(const RpcCall& aCall, const RpcDone& aDone)
   {
     const auto it = handlers_.find(aCall.topic_);
     if (it == handlers_.end()) {
@@ -183,7 +183,7 @@
     [this](const std::string& aAddress,
            const WatchAsk& aAsk,
            StoreDone<StoreWatchBatch> aDone) {
-      AskRelay(aAddress, aAsk, std::move(aDone));
+      QueryRelay(aAddress, aAsk, std::move(aDone));
     },
     [this](const std::string& aPrefix) -> const std::vector<std::string>& {
       return relayPlan_->Relays(aPrefix);
@@ -205,13 +205,13 @@
 }
 
 void
-GatewayHost::AskRelay(const std::string& aAddress,
-                      const WatchAsk& aAsk,
-                      StoreDone<StoreWatchBatch> aDone)
+GatewayHost::QueryRelay(const std::string& aAddress,
+                        const WatchAsk& aAsk,
+                        StoreDone<StoreWatchBatch> aDone)
 {
   RpcCall call;
   call.topic_ = RpcTopic::Watch;
-  call.timeout_ = aAsk.wait_ + kRelaySlack;
+  call.timeout_ = aAsk.wait_ + kRelayCallSlack;
   call.body_ = EncodeWatchAsk(aAsk);
   peers_->Call(aAddress,
                std::move(call),
@@ -296,11 +296,11 @@
   LogEvent(
     LogLevel::Info, "stopping", { { "signal", std::to_string(signal) } });
   const auto end =
-    std::chrono::steady_clock::now() + settings_.grace_ - kEndMargin;
+    std::chrono::steady_clock::now() + settings_.grace_ - kExitMargin;
   OnLoop(aStop);
   bool idle = false;
   while (!idle && std::chrono::steady_clock::now() < end) {
-    std::this_thread::sleep_for(kIdleCheck);
+    std::this_thread::sleep_for(kIdlePollInterval);
     OnLoop([&] { idle = aIdle(); });
   }
   LogEvent(LogLevel::Info, "stopped", { { "idle", idle ? "yes" : "no" } });
--- a/src/daemon/gateway_host.hpp
+++ b/src/daemon/gateway_host.hpp
@@ -22,7 +22,7 @@
 
 /// One process. Everything but construction and `Run` happens on one loop,
 /// so that nothing needs a lock.
-class GatewayHost final : public Doors
+class GatewayHost final : public Listeners
 {
 public:
   /// @param aRelayed watches of the store go through relays, and this process
@@ -54,9 +54,9 @@
   void OnLoop(const std::function<void()>& aTask);
   void ServeMetrics();
   void StartRelaying();
-  void AskRelay(const std::string& aAddress,
-                const WatchAsk& aAsk,
-                StoreDone<StoreWatchBatch> aDone);
+  void QueryRelay(const std::string& aAddress,
+                  const WatchAsk& aAsk,
+                  StoreDone<StoreWatchBatch> aDone);
   void ServeRelay(const RpcCall& aCall, RpcDone aDone);
   void OpenPeers();
 
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -1,6 +1,6 @@
 #include "daemon/host.hpp"
 
-#include "daemon/counted_store.hpp"
+#include "daemon/budgeted_store.hpp"
 
 #include "marjoramtally/runtime/program.hpp"
 
@@ -59,7 +59,7 @@
                            *storeClient_,
                            settings_.storeTimeout_,
                            clock_))
-  , store_(MakeCountedStore(
+  , store_(MakeBudgetedStore(
       openedStore_ ? std::move(openedStore_).value()
                    : MakeEtcdStore(*storeClient_, "", Duration::zero()),
       StoreRate{},
@@ -90,7 +90,7 @@
   };
   gossip_->onRevision_ = [this](ConfigRevision aRevision,
                                 const std::string& aPeer) {
-    config_->OnHeard(aRevision, aPeer);
+    config_->OnReceivedRevision(aRevision, aPeer);
   };
   gossip_->onMembers_ = [this](const std::vector<Member>& aMembers) {
     cluster_->SetMembers(aMembers);
--- a/src/daemon/lease_session.cpp
+++ b/src/daemon/lease_session.cpp
@@ -6,14 +6,14 @@
 
 constexpr auto kStepPeriod = std::chrono::milliseconds(100);
 /// Share of the time to live that is kept as margin, up to the usual one.
-constexpr int kMarginShare = 4;
+constexpr int kMarginDivisor = 4;
 
 LeaseOptions
 OptionsOf(const DaemonSettings& aSettings)
 {
   LeaseOptions options;
   options.ttl_ = aSettings.leaseTtl_;
-  options.margin_ = std::min(options.margin_, options.ttl_ / kMarginShare);
+  options.margin_ = std::min(options.margin_, options.ttl_ / kMarginDivisor);
   return options;
 }
 
@@ -65,7 +65,7 @@
 }
 
 TimePoint
-LeaseSession::Until() const
+LeaseSession::ExpiresAt() const
 {
   const std::lock_guard lock(mutex_);
   return keeper_.Granted() ? keeper_.StopAt() + options_.margin_ : TimePoint{};
@@ -100,12 +100,12 @@
 {
   store_.GrantLease(settings_.leaseTtl_,
                     [this, aSentAt](const Result<StoreLease>& aGrant) {
-                      TakeGrant(aGrant, aSentAt);
+                      OnGranted(aGrant, aSentAt);
                     });
 }
 
 void
-LeaseSession::TakeGrant(const Result<StoreLease>& aGrant, TimePoint aSentAt)
+LeaseSession::OnGranted(const Result<StoreLease>& aGrant, TimePoint aSentAt)
 {
   bool taken = false;
   {
@@ -134,12 +134,12 @@
     lease = lease_;
   }
   store_.KeepAlive(lease, [this, aSentAt](const Result<StoreLease>& aKept) {
-    TakeRenewal(aKept, aSentAt);
+    OnRenewed(aKept, aSentAt);
   });
 }
 
 void
-LeaseSession::TakeRenewal(const Result<StoreLease>& aKept, TimePoint aSentAt)
+LeaseSession::OnRenewed(const Result<StoreLease>& aKept, TimePoint aSentAt)
 {
   LeaseAnswer answer = LeaseAnswer::Unknown;
   if (aKept) {
--- a/src/daemon/lease_session.hpp
+++ b/src/daemon/lease_session.hpp
@@ -26,14 +26,14 @@
   [[nodiscard]] StoreLeaseId Lease() const;
   /// @returns when the store may let the lease go if no further heartbeat is
   /// confirmed, by this process's clock
-  [[nodiscard]] TimePoint Until() const;
+  [[nodiscard]] TimePoint ExpiresAt() const;
 
 private:
   void Step();
   void Grant(TimePoint aSentAt);
   void KeepAlive(TimePoint aSentAt);
-  void TakeGrant(const Result<StoreLease>& aGrant, TimePoint aSentAt);
-  void TakeRenewal(const Result<StoreLease>& aKept, TimePoint aSentAt);
+  void OnGranted(const Result<StoreLease>& aGrant, TimePoint aSentAt);
+  void OnRenewed(const Result<StoreLease>& aKept, TimePoint aSentAt);
   void Register();
 
   const DaemonSettings& settings_;
--- a/src/daemon/leased_key.cpp
+++ b/src/daemon/leased_key.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// Renewals in the time of one lease.
-constexpr int kRenewals = 3;
+constexpr int kRenewalsPerTtl = 3;
 /// A lease counts as ours until this long before its end: covers the way of
 /// an order to an upstream and the drift of two clocks over one lease.
-constexpr auto kMargin = std::chrono::milliseconds(400);
-constexpr auto kFirstPause = std::chrono::milliseconds(100);
-constexpr auto kLongestPause = std::chrono::milliseconds(600);
+constexpr auto kExpiryMargin = std::chrono::milliseconds(400);
+constexpr auto kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr auto kMaxRetryDelay = std::chrono::milliseconds(600);
 
 } // namespace
 
@@ -26,50 +26,50 @@
   , timers_(aTimers)
   , clock_(aClock)
   , options_(std::move(aOptions))
-  , pauses_(kFirstPause,
-            kLongestPause,
-            std::hash<std::string>{}(options_.value_))
+  , retryDelays_(kMinRetryDelay,
+                 kMaxRetryDelay,
+                 std::hash<std::string>{}(options_.value_))
 {
 }
 
 LeasedKey::~LeasedKey()
 {
   *alive_ = false;
-  timers_.Cancel(next_);
+  timers_.Cancel(nextStep_);
 }
 
 template<typename T>
 StoreDone<T>
-LeasedKey::Guarded(std::function<void(const Result<T>&)> aTake)
+LeasedKey::Guarded(std::function<void(const Result<T>&)> aHandle)
 {
-  return [this, alive = alive_, epoch = epoch_, take = std::move(aTake)](
+  return [this, alive = alive_, epoch = epoch_, handle = std::move(aHandle)](
            const Result<T>& aResult) {
     if (!*alive || released_) {
       return;
     }
-    OnReached(aResult || aResult.error().kind_ == ErrorKind::NotFound);
+    OnStoreReachable(aResult || aResult.error().kind_ == ErrorKind::NotFound);
     if (epoch == epoch_) {
-      take(aResult);
+      handle(aResult);
     }
   };
 }
 
 void
-LeasedKey::OnReached(bool aReached)
+LeasedKey::OnStoreReachable(bool aReachable)
 {
-  if (aReached != reached_) {
-    reached_ = aReached;
-    LogEvent(aReached ? LogLevel::Info : LogLevel::Warn,
-             aReached ? "dependency_regained" : "dependency_lost",
+  if (aReachable != storeReachable_) {
+    storeReachable_ = aReachable;
+    LogEvent(aReachable ? LogLevel::Info : LogLevel::Warn,
+             aReachable ? "dependency_regained" : "dependency_lost",
              { { "dependency", "store" }, { "key", options_.key_ } });
   }
 }
 
 void
-LeasedKey::Later(Duration aPause, void (LeasedKey::*aStep)())
+LeasedKey::Schedule(Duration aDelay, void (LeasedKey::*aStep)())
 {
-  timers_.Cancel(next_);
-  next_ = timers_.After(aPause, [this, aStep] { (this->*aStep)(); });
+  timers_.Cancel(nextStep_);
+  nextStep_ = timers_.After(aDelay, [this, aStep] { (this->*aStep)(); });
 }
 
 void
@@ -83,7 +83,7 @@
 {
   if (waiting_ && !released_) {
     waiting_ = false;
-    Later(Duration{ 0 }, &LeasedKey::Grant);
+    Schedule(Duration{ 0 }, &LeasedKey::Grant);
   }
 }
 
@@ -98,7 +98,7 @@
     // The key will hang on the new lease; the one of before is left to lapse,
     // which spares a priced call.
     ++epoch_;
-    Later(Duration{ 0 }, &LeasedKey::Grant);
+    Schedule(Duration{ 0 }, &LeasedKey::Grant);
   }
 }
 
@@ -112,7 +112,7 @@
   lease_ = 0;
   held_ = false;
   waiting_ = false;
-  Later(options_.ttl_, &LeasedKey::Grant);
+  Schedule(options_.ttl_, &LeasedKey::Grant);
 }
 
 void
@@ -122,7 +122,7 @@
     return;
   }
   released_ = true;
-  timers_.Cancel(next_);
+  timers_.Cancel(nextStep_);
   held_ = false;
   if (lease_ != 0) {
     store_.RevokeLease(lease_, [](const Result<bool>&) {});
@@ -132,22 +132,22 @@
 bool
 LeasedKey::Held() const noexcept
 {
-  return held_ && clock_.Now() < until_ - kMargin;
+  return held_ && clock_.Now() < expiresAt_ - kExpiryMargin;
 }
 
 void
 LeasedKey::Grant()
 {
-  granted_ = clock_.Now();
-  askedTtl_ = options_.ttl_;
+  grantSentAt_ = clock_.Now();
+  requestedTtl_ = options_.ttl_;
   store_.GrantLease(
     options_.ttl_, Guarded<StoreLease>([this](const auto& aLease) {
       if (!aLease) {
-        Later(pauses_.Next(), &LeasedKey::Grant);
+        Schedule(retryDelays_.Next(), &LeasedKey::Grant);
         return;
       }
       lease_ = aLease.value().id_;
-      until_ = granted_ + std::min(aLease.value().ttl_, options_.ttl_);
+      expiresAt_ = grantSentAt_ + std::min(aLease.value().ttl_, options_.ttl_);
       Write();
     }));
 }
@@ -157,7 +157,7 @@
 {
   StoreTxn txn;
   if (options_.exclusive_) {
-    txn.compares_.push_back({ options_.key_, replacing_ });
+    txn.compares_.push_back({ options_.key_, replacedRevision_ });
   }
   txn.puts_.push_back({ options_.key_, options_.value_, lease_ });
   store_.Commit(
@@ -169,15 +169,15 @@
 LeasedKey::OnWritten(const Result<StoreCommit>& aCommit)
 {
   if (aCommit && aCommit.value().applied_) {
-    pauses_.Reset();
+    retryDelays_.Reset();
     held_ = true;
     waiting_ = false;
     fence_ = FencingNumber{ aCommit.value().revision_ };
-    if (askedTtl_ == options_.ttl_) {
-      RenewAfter(options_.ttl_ / kRenewals);
+    if (requestedTtl_ == options_.ttl_) {
+      RenewAfter(options_.ttl_ / kRenewalsPerTtl);
     } else {
       // Another length was set meanwhile.
-      Later(Duration{ 0 }, &LeasedKey::Grant);
+      Schedule(Duration{ 0 }, &LeasedKey::Grant);
     }
     if (onHeld_) {
       onHeld_(fence_);
@@ -192,11 +192,11 @@
   const ErrorKind kind = aCommit.error().kind_;
   if (kind == ErrorKind::NotFound) {
     lease_ = 0;
-    Later(pauses_.Next(), &LeasedKey::Grant);
+    Schedule(retryDelays_.Next(), &LeasedKey::Grant);
   } else if (kind == ErrorKind::Unavailable) {
-    Later(pauses_.Next(), &LeasedKey::Write);
+    Schedule(retryDelays_.Next(), &LeasedKey::Write);
   } else {
-    Later(pauses_.Next(), &LeasedKey::ReadBack);
+    Schedule(retryDelays_.Next(), &LeasedKey::ReadBack);
   }
 }
 
@@ -212,7 +212,7 @@
 LeasedKey::OnReadBack(const Result<StoreRange>& aRange)
 {
   if (!aRange) {
-    Later(pauses_.Next(), &LeasedKey::ReadBack);
+    Schedule(retryDelays_.Next(), &LeasedKey::ReadBack);
     return;
   }
   for (const StoreRecord& record : aRange.value().records_) {
@@ -224,7 +224,7 @@
       return;
     }
     if (options_.isOurs_ && options_.isOurs_(record.value_)) {
-      replacing_ = record.modRevision_;
+      replacedRevision_ = record.modRevision_;
       Write();
       return;
     }
@@ -234,15 +234,15 @@
     lease_ = 0;
     return;
   }
-  replacing_ = 0;
+  replacedRevision_ = 0;
   Write();
 }
 
 void
-LeasedKey::RenewAfter(Duration aPause)
+LeasedKey::RenewAfter(Duration aDelay)
 {
-  renewalDue_ = clock_.Now() + aPause;
-  Later(aPause, &LeasedKey::Renew);
+  renewalDue_ = clock_.Now() + aDelay;
+  Schedule(aDelay, &LeasedKey::Renew);
 }
 
 void
@@ -260,28 +260,28 @@
 LeasedKey::OnRenewed(TimePoint aSent, const Result<StoreLease>& aLease)
 {
   if (aLease) {
-    pauses_.Reset();
-    until_ = aSent + std::min(aLease.value().ttl_, options_.ttl_);
+    retryDelays_.Reset();
+    expiresAt_ = aSent + std::min(aLease.value().ttl_, options_.ttl_);
     if (!held_ && !waiting_) {
-      Later(Duration{ 0 }, &LeasedKey::ReadBack);
+      Schedule(Duration{ 0 }, &LeasedKey::ReadBack);
     } else {
-      RenewAfter(options_.ttl_ / kRenewals);
+      RenewAfter(options_.ttl_ / kRenewalsPerTtl);
     }
     return;
   }
   if (aLease.error().kind_ == ErrorKind::NotFound) {
-    Lose("the store ended it");
+    OnLost("the store ended it");
     Grant();
     return;
   }
-  if (held_ && clock_.Now() >= until_) {
-    Lose("not renewed in time");
+  if (held_ && clock_.Now() >= expiresAt_) {
+    OnLost("not renewed in time");
   }
-  RenewAfter(pauses_.Next());
+  RenewAfter(retryDelays_.Next());
 }
 
 void
-LeasedKey::Lose(std::string_view aWhy)
+LeasedKey::OnLost(std::string_view aWhy)
 {
   if (!std::exchange(held_, false)) {
     return;
--- a/src/daemon/leased_key.hpp
+++ b/src/daemon/leased_key.hpp
@@ -56,23 +56,23 @@
   [[nodiscard]] bool Held() const noexcept;
   [[nodiscard]] FencingNumber Fence() const noexcept { return fence_; }
   /// @returns whether the last call to the store was answered
-  [[nodiscard]] bool Reached() const noexcept { return reached_; }
+  [[nodiscard]] bool StoreReachable() const noexcept { return storeReachable_; }
 
 private:
-  void OnReached(bool aReached);
+  void OnStoreReachable(bool aReachable);
   void Grant();
   void Write();
   void OnWritten(const Result<StoreCommit>& aCommit);
   void ReadBack();
   void OnReadBack(const Result<StoreRange>& aRange);
-  void RenewAfter(Duration aPause);
+  void RenewAfter(Duration aDelay);
   void Renew();
   void OnRenewed(TimePoint aSent, const Result<StoreLease>& aLease);
   /// @param aWhy for the log
-  void Lose(std::string_view aWhy);
-  void Later(Duration aPause, void (LeasedKey::*aStep)());
+  void OnLost(std::string_view aWhy);
+  void Schedule(Duration aDelay, void (LeasedKey::*aStep)());
   template<typename T>
-  StoreDone<T> Guarded(std::function<void(const Result<T>&)> aTake);
+  StoreDone<T> Guarded(std::function<void(const Result<T>&)> aHandle);
 
   Store& store_;
   LoopTimers& timers_;
@@ -80,24 +80,24 @@
   LeasedKeyOptions options_;
   StoreLeaseId lease_ = 0;
   /// The length that this lease was asked with.
-  Duration askedTtl_{ 0 };
+  Duration requestedTtl_{ 0 };
   FencingNumber fence_;
   bool held_ = false;
   /// Another process holds the key.
   bool waiting_ = false;
-  bool reached_ = false;
+  bool storeReachable_ = false;
   bool released_ = false;
   /// Revision of the key that our write replaces; 0: there is none.
-  std::uint64_t replacing_ = 0;
-  TimePoint until_;
-  TimePoint granted_;
+  std::uint64_t replacedRevision_ = 0;
+  TimePoint expiresAt_;
+  TimePoint grantSentAt_;
   /// When the next renewal is to be sent.
   TimePoint renewalDue_;
   /// How much later than due the last renewal was sent, for other work of the
   /// process.
   Duration renewalDelay_{ 0 };
-  Backoff pauses_;
-  LoopTimerId next_ = 0;
+  Backoff retryDelays_;
+  LoopTimerId nextStep_ = 0;
   /// Counts the leases given up; answers to calls about an earlier one are
   /// ignored.
   std::uint64_t epoch_ = 0;
--- a/src/daemon/live_records.cpp
+++ b/src/daemon/live_records.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 constexpr auto kStepPeriod = std::chrono::milliseconds(100);
-constexpr auto kFirstBackoff = std::chrono::milliseconds(200);
-constexpr auto kLongestBackoff = std::chrono::seconds(10);
+constexpr auto kMinRetryDelay = std::chrono::milliseconds(200);
+constexpr auto kMaxRetryDelay = std::chrono::seconds(10);
 /// An instance that hears of changes reads all anyway this often.
-constexpr int kRefreshesPerFullRead = 600;
+constexpr int kRefreshPeriodsPerFullRead = 600;
 /// A watch that lags a hint by this long is helped by a read.
 constexpr auto kWatchGrace = std::chrono::seconds(2);
 /// Reads after a hint are spread over this time.
-constexpr std::uint64_t kHintSpreadMicros = 200'000;
+constexpr std::uint64_t kHintReadJitterMicros = 200'000;
 
 } // namespace
 
@@ -26,8 +26,8 @@
   , timers_(aTimers)
   , prefix_(std::move(aPrefix))
   , groups_(std::move(aGroups))
-  , backoff_(kFirstBackoff,
-             kLongestBackoff,
+  , backoff_(kMinRetryDelay,
+             kMaxRetryDelay,
              std::hash<std::string>{}(aSettings.instance_))
   , random_(std::hash<std::string>{}(aSettings.instance_))
 {
@@ -88,7 +88,7 @@
   }
   store_.Read(aPrefix, [this, aPrefix](const Result<StoreRange>& aRead) {
     if (aRead) {
-      Take(aPrefix, aRead.value());
+      OnRead(aPrefix, aRead.value());
       return;
     }
     Duration wait{ 0 };
@@ -106,13 +106,13 @@
 }
 
 void
-LiveRecords::Take(const std::string& aPrefix, const StoreRange& aRange)
+LiveRecords::OnRead(const std::string& aPrefix, const StoreRange& aRange)
 {
   {
     const std::lock_guard lock(mutex_);
     reading_ = false;
-    if (aRange.revision_ < known_[aPrefix] ||
-        aRange.revision_ < known_[prefix_]) {
+    if (aRange.revision_ < knownRevisions_[aPrefix] ||
+        aRange.revision_ < knownRevisions_[prefix_]) {
       // Overtaken by a later read or by the watch, or an older store.
       LogEvent(LogLevel::Info,
                "store_read_older",
@@ -127,22 +127,23 @@
     for (const StoreRecord& record : aRange.records_) {
       records_[record.key_] = record;
     }
-    known_[aPrefix] = aRange.revision_;
+    knownRevisions_[aPrefix] = aRange.revision_;
     if (aPrefix == prefix_) {
       complete_ = true;
       revision_ = aRange.revision_;
     }
-    nextRead_ = watching_ || !watches_ || watches_()
-                  ? clock_.Now()
-                  : clock_.Now() + settings_.refresh_ * kRefreshesPerFullRead;
+    nextRead_ =
+      watching_ || !watches_ || watches_()
+        ? clock_.Now()
+        : clock_.Now() + settings_.refresh_ * kRefreshPeriodsPerFullRead;
   }
-  Tell();
+  NotifyRecords();
 }
 
 void
 LiveRecords::OnHint(const std::string& aGroup, std::uint64_t aRevision)
 {
-  if (Knows(aGroup, aRevision)) {
+  if (IsKnown(aGroup, aRevision)) {
     return;
   }
   Duration wait{ 0 };
@@ -150,20 +151,21 @@
     const std::lock_guard lock(mutex_);
     wait = watching_ ? Duration{ kWatchGrace }
                      : Duration{ static_cast<Duration::rep>(
-                         random_.Below(kHintSpreadMicros)) };
+                         random_.Below(kHintReadJitterMicros)) };
   }
   timers_.After(wait, [this, aGroup, aRevision] {
-    if (!Knows(aGroup, aRevision)) {
+    if (!IsKnown(aGroup, aRevision)) {
       Read(aGroup);
     }
   });
 }
 
 bool
-LiveRecords::Knows(const std::string& aGroup, std::uint64_t aRevision)
+LiveRecords::IsKnown(const std::string& aGroup, std::uint64_t aRevision)
 {
   const std::lock_guard lock(mutex_);
-  return known_[aGroup] >= aRevision || known_[prefix_] >= aRevision;
+  return knownRevisions_[aGroup] >= aRevision ||
+         knownRevisions_[prefix_] >= aRevision;
 }
 
 void
@@ -178,9 +180,9 @@
   const StoreWatchId watch =
     store_.Watch(prefix_, from, [this](const StoreWatchBatch& aBatch) {
       if (aBatch.ended_) {
-        WatchEnded();
+        OnWatchEnded();
       } else {
-        TakeBatch(aBatch);
+        OnBatch(aBatch);
       }
     });
   const std::lock_guard lock(mutex_);
@@ -188,7 +190,7 @@
 }
 
 void
-LiveRecords::TakeBatch(const StoreWatchBatch& aBatch)
+LiveRecords::OnBatch(const StoreWatchBatch& aBatch)
 {
   if (aBatch.events_.empty()) {
     return;
@@ -210,9 +212,9 @@
         }
       }
     }
-    known_[prefix_] = std::max(known_[prefix_], revision_);
+    knownRevisions_[prefix_] = std::max(knownRevisions_[prefix_], revision_);
   }
-  Tell();
+  NotifyRecords();
   for (const auto& [group, revision] : changed) {
     if (onChange_) {
       onChange_(group, revision);
@@ -222,7 +224,7 @@
 
 /// Reads anew after a while, then watches again.
 void
-LiveRecords::WatchEnded()
+LiveRecords::OnWatchEnded()
 {
   const std::lock_guard lock(mutex_);
   watching_ = false;
@@ -232,7 +234,7 @@
 }
 
 void
-LiveRecords::Tell()
+LiveRecords::NotifyRecords()
 {
   LiveRecordMap records;
   {
--- a/src/daemon/live_records.hpp
+++ b/src/daemon/live_records.hpp
@@ -46,13 +46,13 @@
 
 private:
   void Step();
-  bool Knows(const std::string& aGroup, std::uint64_t aRevision);
+  bool IsKnown(const std::string& aGroup, std::uint64_t aRevision);
   void Read(const std::string& aPrefix);
-  void Take(const std::string& aPrefix, const StoreRange& aRange);
+  void OnRead(const std::string& aPrefix, const StoreRange& aRange);
   void OpenWatch();
-  void TakeBatch(const StoreWatchBatch& aBatch);
-  void WatchEnded();
-  void Tell();
+  void OnBatch(const StoreWatchBatch& aBatch);
+  void OnWatchEnded();
+  void NotifyRecords();
 
   const DaemonSettings& settings_;
   Store& store_;
@@ -63,7 +63,7 @@
   mutable std::mutex mutex_;
   LiveRecordMap records_;
   /// Revision up to which each prefix is known.
-  std::map<std::string, std::uint64_t> known_;
+  std::map<std::string, std::uint64_t> knownRevisions_;
   std::uint64_t revision_ = 0;
   Backoff backoff_;
   Random random_;
--- a/src/daemon/metered_store.cpp
+++ b/src/daemon/metered_store.cpp
@@ -8,14 +8,14 @@
 
 /// Keys are told apart by so many of their parts; what follows names one job
 /// or process of many.
-constexpr int kPartsTold = 2;
+constexpr int kLabelParts = 2;
 
 /// @returns the first parts of a key, without what names one of many
 std::string
-PlaceOf(std::string_view aKey)
+KeyPrefixOf(std::string_view aKey)
 {
   std::size_t end = 0;
-  for (int part = 0; part < kPartsTold; ++part) {
+  for (int part = 0; part < kLabelParts; ++part) {
     const std::size_t slash = aKey.find('/', end);
     if (slash == std::string_view::npos) {
       break;
@@ -83,12 +83,12 @@
     std::uint64_t aFromRevision,
     std::function<void(const StoreWatchBatch&)> aOnBatch) override
   {
-    const std::string place = PlaceOf(aPrefix);
+    const std::string prefix = KeyPrefixOf(aPrefix);
     return store_->Watch(std::move(aPrefix),
                          aFromRevision,
-                         [this, place, onBatch = std::move(aOnBatch)](
+                         [this, prefix, onBatch = std::move(aOnBatch)](
                            const StoreWatchBatch& aBatch) {
-                           Count("watch", place);
+                           Count("watch", prefix);
                            onBatch(aBatch);
                          });
   }
@@ -99,7 +99,7 @@
   void Count(std::string_view aKind, std::string_view aKey)
   {
     metrics_.Count("store_calls_total{kind=\"" + std::string(aKind) +
-                   "\",place=\"" + PlaceOf(aKey) + "\"}");
+                   "\",place=\"" + KeyPrefixOf(aKey) + "\"}");
   }
 
   std::unique_ptr<Store> store_;
--- a/src/daemon/prefix_follower.cpp
+++ b/src/daemon/prefix_follower.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 /// Pauses after a reading that failed.
-constexpr auto kFirstPause = std::chrono::milliseconds(100);
-constexpr auto kLongestPause = std::chrono::milliseconds(800);
+constexpr auto kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr auto kMaxRetryDelay = std::chrono::milliseconds(800);
 
 } // namespace
 
@@ -35,31 +35,31 @@
   /// after history was forgotten and kept an old configuration in force.
   void Read()
   {
-    const auto take = [self =
-                         weak_from_this()](const Result<StoreRange>& aRange) {
+    const auto onRead = [self =
+                           weak_from_this()](const Result<StoreRange>& aRange) {
       const auto state = self.lock();
       if (state && !state->stopped_) {
-        state->Take(aRange);
+        state->OnRead(aRange);
       }
     };
-    if (known_) {
-      store_.Read(prefix_, take);
+    if (hasRead_) {
+      store_.Read(prefix_, onRead);
     } else {
-      store_.ReadEarlier(prefix_, take);
+      store_.ReadEarlier(prefix_, onRead);
     }
   }
 
-  void Take(const Result<StoreRange>& aRange)
+  void OnRead(const Result<StoreRange>& aRange)
   {
     if (!aRange) {
-      const Duration pause = pauses_.Next();
+      const Duration delay = retryDelays_.Next();
       LogEvent(LogLevel::Info,
                "reading_failed",
                { { "prefix", prefix_ },
                  { "error", aRange.error().message_ },
-                 { "again_in", FormatDuration(pause) } });
-      Tell(&PrefixFollower::onFailure_, aRange.error());
-      timers_.After(pause, [self = weak_from_this()] {
+                 { "again_in", FormatDuration(delay) } });
+      Notify(&PrefixFollower::onFailure_, aRange.error());
+      timers_.After(delay, [self = weak_from_this()] {
         const auto state = self.lock();
         if (state && !state->stopped_) {
           state->Read();
@@ -67,28 +67,28 @@
       });
       return;
     }
-    pauses_.Reset();
-    known_ = true;
-    Tell(&PrefixFollower::onAll_, aRange.value());
-    Tell(&PrefixFollower::onSettled_);
+    retryDelays_.Reset();
+    hasRead_ = true;
+    Notify(&PrefixFollower::onSnapshot_, aRange.value());
+    Notify(&PrefixFollower::onBatchEnd_);
     const std::uint64_t from = aRange.value().revision_ + 1;
     if (stopped_) {
       return;
     }
-    if (watchMayOpen_) {
+    if (watchAllowed_) {
       Watch(from);
       return;
     }
     // The first watch waits for its time.
-    firstFrom_ = from;
+    firstWatchFrom_ = from;
   }
 
   /// The first watch may open from now on.
-  void LetWatch()
+  void AllowWatch()
   {
-    watchMayOpen_ = true;
-    if (firstFrom_) {
-      Watch(*std::exchange(firstFrom_, std::nullopt));
+    watchAllowed_ = true;
+    if (firstWatchFrom_) {
+      Watch(*std::exchange(firstWatchFrom_, std::nullopt));
     }
   }
 
@@ -98,33 +98,33 @@
       prefix_, aFrom, [self = weak_from_this()](const StoreWatchBatch& aBatch) {
         const auto state = self.lock();
         if (state && !state->stopped_) {
-          state->TakeBatch(aBatch);
+          state->OnBatch(aBatch);
         }
       });
   }
 
-  void TakeBatch(const StoreWatchBatch& aBatch)
+  void OnBatch(const StoreWatchBatch& aBatch)
   {
     if (aBatch.ended_) {
       Read();
       return;
     }
     if (aBatch.interrupted_) {
-      Tell(&PrefixFollower::onDoubted_);
+      Notify(&PrefixFollower::onInterrupted_);
       return;
     }
     for (const StoreEvent& event : aBatch.events_) {
-      Tell(&PrefixFollower::onChange_, event);
+      Notify(&PrefixFollower::onChange_, event);
     }
-    Tell(&PrefixFollower::onVouched_, aBatch.age_);
+    Notify(&PrefixFollower::onConfirmed_, aBatch.age_);
     if (!aBatch.events_.empty()) {
-      Tell(&PrefixFollower::onSettled_);
+      Notify(&PrefixFollower::onBatchEnd_);
     }
   }
 
   /// A callback may stop or destroy the follower: then nothing more is told.
   template<typename Callback, typename... Args>
-  void Tell(Callback PrefixFollower::*aCallback, const Args&... aArgs)
+  void Notify(Callback PrefixFollower::*aCallback, const Args&... aArgs)
   {
     if (stopped_) {
       return;
@@ -139,13 +139,13 @@
   Store& store_;
   LoopTimers& timers_;
   std::string prefix_;
-  Backoff pauses_{ kFirstPause, kLongestPause, 1 };
+  Backoff retryDelays_{ kMinRetryDelay, kMaxRetryDelay, 1 };
   StoreWatchId watch_ = 0;
   /// A reading came.
-  bool known_ = false;
-  bool watchMayOpen_ = true;
+  bool hasRead_ = false;
+  bool watchAllowed_ = true;
   /// Where the first watch begins, while it waits for its time.
-  std::optional<std::uint64_t> firstFrom_;
+  std::optional<std::uint64_t> firstWatchFrom_;
   bool stopped_ = false;
 };
 
@@ -162,14 +162,14 @@
 }
 
 void
-PrefixFollower::Start(Duration aWatchAfter)
+PrefixFollower::Start(Duration aFirstWatchDelay)
 {
-  if (aWatchAfter > Duration{ 0 }) {
-    state_->watchMayOpen_ = false;
-    state_->timers_.After(aWatchAfter, [self = state_->weak_from_this()] {
+  if (aFirstWatchDelay > Duration{ 0 }) {
+    state_->watchAllowed_ = false;
+    state_->timers_.After(aFirstWatchDelay, [self = state_->weak_from_this()] {
       const auto state = self.lock();
       if (state && !state->stopped_) {
-        state->LetWatch();
+        state->AllowWatch();
       }
     });
   }
--- a/src/daemon/prefix_follower.hpp
+++ b/src/daemon/prefix_follower.hpp
@@ -19,22 +19,22 @@
   PrefixFollower& operator=(const PrefixFollower&) = delete;
 
   /// Set before `Start`. Told of a whole reading: what is not in it is gone.
-  std::function<void(const StoreRange&)> onAll_;
+  std::function<void(const StoreRange&)> onSnapshot_;
   /// Told of one change.
   std::function<void(const StoreEvent&)> onChange_;
   /// Told once after all changes of one answer, and after a whole reading.
-  std::function<void()> onSettled_;
+  std::function<void()> onBatchEnd_;
   /// Told how old the knowledge is that a source of the watch vouched for just
   /// now, after the changes it brought.
-  std::function<void(Duration)> onVouched_;
+  std::function<void(Duration)> onConfirmed_;
   /// Told that no source vouches for what is known, until one does again.
-  std::function<void()> onDoubted_;
+  std::function<void()> onInterrupted_;
   /// Told why a reading failed.
   std::function<void(const Error&)> onFailure_;
 
-  /// @param aWatchAfter the first watch opens no sooner than this after the
-  /// start; what changes until then is told by it
-  void Start(Duration aWatchAfter = Duration{ 0 });
+  /// @param aFirstWatchDelay the first watch opens no sooner than this after
+  /// the start; what changes until then is told by it
+  void Start(Duration aFirstWatchDelay = Duration{ 0 });
   void Stop();
 
 private:
--- a/src/daemon/relay_answers.cpp
+++ b/src/daemon/relay_answers.cpp
@@ -9,9 +9,9 @@
 
 /// The age that an answer tells may be this much too small, so that one serves
 /// all peers that are told at the same time.
-constexpr auto kSameAnswer = std::chrono::milliseconds(20);
+constexpr auto kAnswerReuseTime = std::chrono::milliseconds(20);
 /// A relay that does not yet know a revision gets this long.
-constexpr auto kCatchUp = std::chrono::milliseconds(50);
+constexpr auto kMinWait = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -48,17 +48,17 @@
 {
   const TimePoint now = clock_.Now();
   const std::uint64_t revision = aHistory.Known();
-  const bool same = answer_.prefix_ == aPrefix && answer_.after_ == aAfter &&
-                    answer_.deflated_ == aDeflated &&
-                    answer_.revision_ == revision &&
-                    now - answer_.made_ <= Duration{ kSameAnswer };
+  const bool same =
+    lastAnswer_.prefix_ == aPrefix && lastAnswer_.after_ == aAfter &&
+    lastAnswer_.deflated_ == aDeflated && lastAnswer_.revision_ == revision &&
+    now - lastAnswer_.encodedAt_ <= Duration{ kAnswerReuseTime };
   if (!same) {
     StoreWatchBatch batch = aHistory.After(aAfter);
     batch.age_ = aHistory.Age(now);
-    answer_ = { aPrefix,  aAfter, aDeflated,
-                revision, now,    EncodeWatchBatch(batch, aDeflated) };
+    lastAnswer_ = { aPrefix,  aAfter, aDeflated,
+                    revision, now,    EncodeWatchBatch(batch, aDeflated) };
   }
-  return answer_.bytes_;
+  return lastAnswer_.bytes_;
 }
 
 void
@@ -73,63 +73,65 @@
     aDone(AnswerFor(aAsk.prefix_, *history, aAsk.after_, aAsk.inflates_));
     return;
   }
-  const std::uint64_t number = ++lastAsker_;
+  const std::uint64_t number = ++lastRequest_;
   const std::string& prefix = aAsk.prefix_;
   const LoopTimerId timer =
-    timers_.After(std::max<Duration>(aAsk.wait_, kCatchUp),
-                  [this, prefix, number] { End(prefix, number); });
-  askers_[prefix][number] = {
+    timers_.After(std::max<Duration>(aAsk.wait_, kMinWait),
+                  [this, prefix, number] { Complete(prefix, number); });
+  pending_[prefix][number] = {
     aAsk.after_, aAsk.inflates_, std::move(aDone), timer
   };
 }
 
 void
-RelayAnswers::Wake(const std::string& aPrefix)
+RelayAnswers::NotifyChange(const std::string& aPrefix)
 {
-  const auto it = askers_.find(aPrefix);
-  if (it == askers_.end()) {
+  const auto it = pending_.find(aPrefix);
+  if (it == pending_.end()) {
     return;
   }
   const WatchHistory* history = history_(aPrefix);
   std::vector<std::uint64_t> due;
-  for (const auto& [number, asker] : it->second) {
-    if (RefusalOf(history, asker.after_) || history->HasAfter(asker.after_)) {
+  for (const auto& [number, request] : it->second) {
+    if (RefusalOf(history, request.after_) ||
+        history->HasAfter(request.after_)) {
       due.push_back(number);
     }
   }
   for (const std::uint64_t number : due) {
-    End(aPrefix, number);
+    Complete(aPrefix, number);
   }
 }
 
 void
-RelayAnswers::EndAll(const std::string& aPrefix)
+RelayAnswers::FailAll(const std::string& aPrefix)
 {
-  auto node = askers_.extract(aPrefix);
+  auto node = pending_.extract(aPrefix);
   if (node.empty()) {
     return;
   }
-  for (const auto& [number, asker] : node.mapped()) {
-    timers_.Cancel(asker.timer_);
-    asker.done_(Error{ ErrorKind::Conflict, "the history was lost" });
+  for (const auto& [number, request] : node.mapped()) {
+    timers_.Cancel(request.timer_);
+    request.done_(Error{ ErrorKind::Conflict, "the history was lost" });
   }
 }
 
 void
-RelayAnswers::End(const std::string& aPrefix, std::uint64_t aNumber)
+RelayAnswers::Complete(const std::string& aPrefix, std::uint64_t aNumber)
 {
-  auto node = askers_[aPrefix].extract(aNumber);
+  auto node = pending_[aPrefix].extract(aNumber);
   if (node.empty()) {
     return;
   }
-  const Asker& asker = node.mapped();
-  timers_.Cancel(asker.timer_);
+  const PendingRequest& request = node.mapped();
+  timers_.Cancel(request.timer_);
   const WatchHistory* history = history_(aPrefix);
-  if (const auto refusal = RefusalOf(history, asker.after_)) {
-    asker.done_(*refusal);
+  if (const auto refusal = RefusalOf(history, request.after_)) {
+    request.done_(*refusal);
     return;
   }
-  asker.done_(AnswerFor(aPrefix, *history, asker.after_, asker.inflates_));
+  request.done_(
+    AnswerFor(aPrefix, *history, request.after_, request.inflates_));
 }
 
 } // namespace marjoramtally
--- a/src/daemon/relay_answers.hpp
+++ b/src/daemon/relay_answers.hpp
@@ -27,13 +27,13 @@
   void Serve(const WatchAsk& aAsk, StoreDone<std::string> aDone);
   /// Answers those that wait for changes under a prefix, if there are any now
   /// or nothing can be vouched for any more.
-  void Wake(const std::string& aPrefix);
+  void NotifyChange(const std::string& aPrefix);
   /// Tells those that wait under a prefix that they must read anew.
-  void EndAll(const std::string& aPrefix);
+  void FailAll(const std::string& aPrefix);
 
 private:
   /// A peer that waits for a change.
-  struct Asker
+  struct PendingRequest
   {
     std::uint64_t after_ = 0;
     bool inflates_ = false;
@@ -48,7 +48,7 @@
     std::uint64_t after_ = 0;
     bool deflated_ = false;
     std::uint64_t revision_ = 0;
-    TimePoint made_;
+    TimePoint encodedAt_;
     std::string bytes_;
   };
 
@@ -61,14 +61,14 @@
                                              const WatchHistory& aHistory,
                                              std::uint64_t aAfter,
                                              bool aDeflated);
-  void End(const std::string& aPrefix, std::uint64_t aNumber);
+  void Complete(const std::string& aPrefix, std::uint64_t aNumber);
 
   LoopTimers& timers_;
   const Clock& clock_;
   HistoryOf history_;
-  std::uint64_t lastAsker_ = 0;
-  std::map<std::string, std::map<std::uint64_t, Asker>> askers_;
-  Answer answer_;
+  std::uint64_t lastRequest_ = 0;
+  std::map<std::string, std::map<std::uint64_t, PendingRequest>> pending_;
+  Answer lastAnswer_;
 };
 
 } // namespace marjoramtally
--- a/src/daemon/relayed_store.cpp
+++ b/src/daemon/relayed_store.cpp
@@ -11,37 +11,37 @@
 
 /// How long a relay may hold an answer back: a silent relay is found within
 /// this and the slack of the call.
-constexpr auto kRelayHold = std::chrono::milliseconds(1000);
+constexpr auto kRelayWait = std::chrono::milliseconds(1000);
 /// A relay that has told nothing for this long is doubted, and a second one is
 /// asked beside it: a relay that is cut off from the store vouches for what it
 /// holds for another 1.7 s, and one that is silent is given up after 1.3 s.
 /// Above the time for which the store's adapter collects changes, so that a
 /// relay of a busy prefix is seldom doubted.
-constexpr auto kDoubtAfter = std::chrono::milliseconds(500);
+constexpr auto kBackupDelay = std::chrono::milliseconds(500);
 /// A relay whose last answer held more bytes is not doubted: a second copy of
 /// what it tells all the time would load relays and links twice, and relays
 /// that are late for that would be doubted all the more.
-constexpr std::size_t kBusyBytes = 4096;
+constexpr std::size_t kLargeAnswerBytes = 4096;
 /// A process that watches the store itself since its relay failed tries
 /// another after this time.
-constexpr auto kDirectTime = std::chrono::seconds(3);
+constexpr auto kDirectWatchTime = std::chrono::seconds(3);
 /// A process that no relay has vouched to for this long turns to the store: a
 /// relay that is asked next may be silent for 1.3 s, and a change is to be in
 /// force after 2 s. Relays that refuse one after the other, each after holding
 /// the question for a second, would else add up to more than 3 s.
-constexpr auto kUnconfirmedTime = std::chrono::milliseconds(600);
+constexpr auto kMaxUnconfirmedTime = std::chrono::milliseconds(600);
 /// Relays that all refused are asked again after this time.
-constexpr auto kRelayPause = std::chrono::milliseconds(250);
+constexpr auto kRelayRetryDelay = std::chrono::milliseconds(250);
 /// Pauses between tries of a process to reach the store that neither it nor its
 /// relays reach. All 250 processes of a fleet that each tried for itself every
 /// 0.1 to 0.8 s made 6,400 of a day's 17,000 calls in the 4 s around an outage
 /// of 2.5 s.
-constexpr auto kFirstProbe = std::chrono::milliseconds(700);
-constexpr auto kLongestProbe = std::chrono::seconds(3);
+constexpr auto kMinProbeDelay = std::chrono::milliseconds(700);
+constexpr auto kMaxProbeDelay = std::chrono::seconds(3);
 /// A watch that nobody vouched for so long is told when it goes on: a change
 /// may have been in force late. Above the longest pause of a watch that is
 /// well.
-constexpr auto kSilenceTold = std::chrono::milliseconds(1700);
+constexpr auto kLoggedGap = std::chrono::milliseconds(1700);
 
 std::size_t
 BytesOf(const StoreWatchBatch& aBatch)
@@ -60,14 +60,14 @@
 RelayedStore::RelayedStore(Store& aStore,
                            LoopTimers& aTimers,
                            const Clock& aClock,
-                           AskPeer aAskPeer,
+                           QueryPeer aQueryPeer,
                            RelaysOf aRelays)
   : store_(aStore)
   , timers_(aTimers)
   , clock_(aClock)
-  , askPeer_(std::move(aAskPeer))
+  , queryPeer_(std::move(aQueryPeer))
   , relays_(std::move(aRelays))
-  , probes_(kFirstProbe, kLongestProbe, 1)
+  , probeDelays_(kMinProbeDelay, kMaxProbeDelay, 1)
   , answers_(aTimers, aClock, [this](const std::string& aPrefix) {
     return HistoryOfServed(aPrefix);
   })
@@ -129,11 +129,11 @@
                     std::function<void(const StoreWatchBatch&)> aOnBatch)
 {
   const StoreWatchId id = ++last_;
-  Own& own = watches_[id];
+  OwnWatch& own = watches_[id];
   own.prefix_ = std::move(aPrefix);
   own.after_ = aFromRevision == 0 ? 0 : aFromRevision - 1;
   own.onBatch_ = std::move(aOnBatch);
-  own.heard_ = clock_.Now();
+  own.confirmedAt_ = clock_.Now();
   Open(id);
   return id;
 }
@@ -144,12 +144,12 @@
   const auto it = watches_.find(aWatch);
   if (it != watches_.end()) {
     store_.StopWatch(it->second.direct_);
-    timers_.Cancel(it->second.beside_);
+    timers_.Cancel(it->second.backupTimer_);
     watches_.erase(it);
   }
 }
 
-RelayedStore::Own*
+RelayedStore::OwnWatch*
 RelayedStore::Find(StoreWatchId aId)
 {
   const auto it = watches_.find(aId);
@@ -160,24 +160,24 @@
 void
 RelayedStore::Open(StoreWatchId aId)
 {
-  Own& own = watches_.at(aId);
+  OwnWatch& own = watches_.at(aId);
   const std::vector<std::string>& relays = relays_(own.prefix_);
   if (relays.empty() || clock_.Now() < own.directUntil_) {
     OpenDirect(aId);
     return;
   }
-  AskRelay(aId, relays[own.nextRelay_ % relays.size()]);
+  QueryRelay(aId, relays[own.nextRelay_ % relays.size()]);
 }
 
 void
-RelayedStore::OpenLater(StoreWatchId aId)
+RelayedStore::ReopenAfterDelay(StoreWatchId aId)
 {
   const std::uint64_t round = ++watches_.at(aId).round_;
-  timers_.After(kRelayPause, [this, alive = alive_, aId, round] {
+  timers_.After(kRelayRetryDelay, [this, alive = alive_, aId, round] {
     if (!*alive) {
       return;
     }
-    const Own* own = Find(aId);
+    const OwnWatch* own = Find(aId);
     if (own != nullptr && own->round_ == round) {
       Open(aId);
     }
@@ -187,9 +187,9 @@
 void
 RelayedStore::OpenDirect(StoreWatchId aId)
 {
-  Own& own = watches_.at(aId);
+  OwnWatch& own = watches_.at(aId);
   ++own.round_;
-  timers_.Cancel(std::exchange(own.beside_, 0));
+  timers_.Cancel(std::exchange(own.backupTimer_, 0));
   own.history_.Start(own.after_, clock_.Now());
   own.direct_ = store_.Watch(
     own.prefix_, own.after_ + 1, [this, aId](const StoreWatchBatch& aBatch) {
@@ -200,42 +200,42 @@
 void
 RelayedStore::OnDirect(StoreWatchId aId, const StoreWatchBatch& aBatch)
 {
-  Own* own = Find(aId);
+  OwnWatch* own = Find(aId);
   if (own == nullptr) {
     return;
   }
   if (aBatch.interrupted_) {
-    TellDoubt(aId);
+    NotifyInterrupted(aId);
     own = Find(aId);
     if (own == nullptr) {
       return;
     }
     own->history_.Lose();
-    answers_.Wake(own->prefix_);
+    answers_.NotifyChange(own->prefix_);
     own->history_.Start(own->after_, {});
     if (!relays_(own->prefix_).empty()) {
       // Relays say sooner than many tries of each process when it is back.
       store_.StopWatch(own->direct_);
       own->direct_ = 0;
       own->directUntil_ = {};
-      if (clock_.Now() >= probeAt_ || probing_ == aId) {
-        probeAt_ = clock_.Now() + probes_.Next();
+      if (clock_.Now() >= nextProbeAt_ || probingWatch_ == aId) {
+        nextProbeAt_ = clock_.Now() + probeDelays_.Next();
       }
-      OpenLater(aId);
+      ReopenAfterDelay(aId);
     }
     return;
   }
   if (aBatch.ended_) {
     own->history_.Lose();
-    answers_.EndAll(own->prefix_);
+    answers_.FailAll(own->prefix_);
     Deliver(aId, aBatch);
     return;
   }
-  probeAt_ = {};
-  probes_.Reset();
-  Heard(*own, "store");
+  nextProbeAt_ = {};
+  probeDelays_.Reset();
+  OnConfirmed(*own, "store");
   own->history_.Append(aBatch, clock_.Now());
-  answers_.Wake(own->prefix_);
+  answers_.NotifyChange(own->prefix_);
   const bool relayed =
     !relays_(own->prefix_).empty() && clock_.Now() >= own->directUntil_;
   const StoreWatchId direct = own->direct_;
@@ -250,41 +250,41 @@
 }
 
 void
-RelayedStore::AskRelay(StoreWatchId aId, const std::string& aAddress)
+RelayedStore::QueryRelay(StoreWatchId aId, const std::string& aAddress)
 {
-  Own& own = watches_.at(aId);
+  OwnWatch& own = watches_.at(aId);
   const std::uint64_t round = ++own.round_;
   if (own.refusals_ == 0) {
-    own.unconfirmed_ = clock_.Now();
+    own.unconfirmedSince_ = clock_.Now();
   }
-  timers_.Cancel(std::exchange(own.beside_, 0));
-  if (!own.busy_) {
-    own.beside_ =
-      timers_.After(kDoubtAfter, [this, alive = alive_, aId, round] {
+  timers_.Cancel(std::exchange(own.backupTimer_, 0));
+  if (!own.largeAnswers_) {
+    own.backupTimer_ =
+      timers_.After(kBackupDelay, [this, alive = alive_, aId, round] {
         if (*alive) {
-          AskBeside(aId, round);
+          QueryBackup(aId, round);
         }
       });
   }
-  const WatchAsk ask{ own.prefix_, own.after_, kRelayHold };
-  askPeer_(
+  const WatchAsk ask{ own.prefix_, own.after_, kRelayWait };
+  queryPeer_(
     aAddress,
     ask,
     [this, alive = alive_, aId, round](const Result<StoreWatchBatch>& aBatch) {
       if (!*alive) {
         return;
       }
-      const Own* asker = Find(aId);
-      if (asker != nullptr && asker->round_ == round) {
+      const OwnWatch* watch = Find(aId);
+      if (watch != nullptr && watch->round_ == round) {
         OnRelay(aId, aBatch);
       }
     });
 }
 
 void
-RelayedStore::AskBeside(StoreWatchId aId, std::uint64_t aRound)
+RelayedStore::QueryBackup(StoreWatchId aId, std::uint64_t aRound)
 {
-  const Own* own = Find(aId);
+  const OwnWatch* own = Find(aId);
   if (own == nullptr || own->round_ != aRound) {
     return;
   }
@@ -292,22 +292,24 @@
   if (relays.size() < 2) {
     return;
   }
-  const WatchAsk ask{ own->prefix_, own->after_, kRelayHold };
-  askPeer_(relays[(own->nextRelay_ + 1) % relays.size()],
-           ask,
-           [this, alive = alive_, aId](const Result<StoreWatchBatch>& aBatch) {
-             if (*alive && Find(aId) != nullptr) {
-               OnBeside(aId, aBatch);
-             }
-           });
+  const WatchAsk ask{ own->prefix_, own->after_, kRelayWait };
+  queryPeer_(
+    relays[(own->nextRelay_ + 1) % relays.size()],
+    ask,
+    [this, alive = alive_, aId](const Result<StoreWatchBatch>& aBatch) {
+      if (*alive && Find(aId) != nullptr) {
+        OnBackupAnswer(aId, aBatch);
+      }
+    });
 }
 
 /// What the second relay knows counts whenever it comes; that it knows nothing
 /// says nothing of the first, which stays the one that is asked.
 void
-RelayedStore::OnBeside(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch)
+RelayedStore::OnBackupAnswer(StoreWatchId aId,
+                             const Result<StoreWatchBatch>& aBatch)
 {
-  const Own& own = watches_.at(aId);
+  const OwnWatch& own = watches_.at(aId);
   if (!aBatch || aBatch.value().events_.empty() ||
       aBatch.value().revision_ <= own.after_) {
     return;
@@ -323,9 +325,9 @@
 void
 RelayedStore::OnRelay(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch)
 {
-  Own& own = watches_.at(aId);
+  OwnWatch& own = watches_.at(aId);
   if (!aBatch) {
-    if (probeAt_ == TimePoint{}) {
+    if (nextProbeAt_ == TimePoint{}) {
       // While nobody reaches the store, relays refuse four times a second.
       LogEvent(LogLevel::Info,
                "relay_failed",
@@ -338,21 +340,22 @@
     // too long for a change to be in force in time.
     ++own.nextRelay_;
     const bool silent = aBatch.error().kind_ == ErrorKind::Timeout;
-    own.lost_ = own.lost_ || aBatch.error().kind_ == ErrorKind::Conflict;
+    own.historyLost_ =
+      own.historyLost_ || aBatch.error().kind_ == ErrorKind::Conflict;
     const bool late =
-      clock_.Now() - own.unconfirmed_ > Duration{ kUnconfirmedTime };
+      clock_.Now() - own.unconfirmedSince_ > Duration{ kMaxUnconfirmedTime };
     if (silent || late || ++own.refusals_ >= relays_(own.prefix_).size()) {
-      Unconfirmed(aId);
+      OnUnconfirmed(aId);
     } else {
       Open(aId);
     }
     return;
   }
   own.refusals_ = 0;
-  own.lost_ = false;
-  own.unconfirmed_ = clock_.Now();
-  own.busy_ = BytesOf(aBatch.value()) > kBusyBytes;
-  Heard(own, "relay");
+  own.historyLost_ = false;
+  own.unconfirmedSince_ = clock_.Now();
+  own.largeAnswers_ = BytesOf(aBatch.value()) > kLargeAnswerBytes;
+  OnConfirmed(own, "relay");
   Deliver(aId, aBatch.value());
   if (Find(aId) != nullptr) {
     Open(aId);
@@ -360,52 +363,52 @@
 }
 
 void
-RelayedStore::TellDoubt(StoreWatchId aId)
+RelayedStore::NotifyInterrupted(StoreWatchId aId)
 {
   // The callback may stop the watch.
   const auto onBatch = watches_.at(aId).onBatch_;
-  StoreWatchBatch doubt;
-  doubt.interrupted_ = true;
-  onBatch(doubt);
+  StoreWatchBatch interruption;
+  interruption.interrupted_ = true;
+  onBatch(interruption);
 }
 
 void
-RelayedStore::Unconfirmed(StoreWatchId aId)
+RelayedStore::OnUnconfirmed(StoreWatchId aId)
 {
-  TellDoubt(aId);
+  NotifyInterrupted(aId);
   if (Find(aId) == nullptr) {
     return;
   }
-  Own& own = watches_.at(aId);
+  OwnWatch& own = watches_.at(aId);
   own.refusals_ = 0;
-  if (std::exchange(own.lost_, false)) {
+  if (std::exchange(own.historyLost_, false)) {
     // A relay goes on from a later revision: one reading here costs less than
     // a watch of this process's own.
     Deliver(aId, StoreWatchBatch{ true, false, 0, {} });
-  } else if (clock_.Now() >= probeAt_) {
-    if (probeAt_ != TimePoint{}) {
+  } else if (clock_.Now() >= nextProbeAt_) {
+    if (nextProbeAt_ != TimePoint{}) {
       // The other watches wait for what comes of this one.
-      probing_ = aId;
-      probeAt_ = clock_.Now() + Duration{ kFirstProbe };
+      probingWatch_ = aId;
+      nextProbeAt_ = clock_.Now() + Duration{ kMinProbeDelay };
     }
-    own.directUntil_ = clock_.Now() + kDirectTime;
+    own.directUntil_ = clock_.Now() + kDirectWatchTime;
     OpenDirect(aId);
   } else {
-    OpenLater(aId);
+    ReopenAfterDelay(aId);
   }
 }
 
 void
-RelayedStore::Heard(Own& aOwn, std::string_view aSource)
+RelayedStore::OnConfirmed(OwnWatch& aOwn, std::string_view aSource)
 {
-  const Duration silence = clock_.Now() - aOwn.heard_;
-  aOwn.heard_ = clock_.Now();
-  if (silence > Duration{ kSilenceTold }) {
+  const Duration gap = clock_.Now() - aOwn.confirmedAt_;
+  aOwn.confirmedAt_ = clock_.Now();
+  if (gap > Duration{ kLoggedGap }) {
     LogEvent(LogLevel::Info,
              "watch_resumed",
              { { "prefix", aOwn.prefix_ },
                { "after", std::to_string(aOwn.after_) },
-               { "silent_ms", std::to_string(WholeMillis(silence)) },
+               { "silent_ms", std::to_string(WholeMillis(gap)) },
                { "source", std::string(aSource) } });
   }
 }
@@ -413,18 +416,18 @@
 void
 RelayedStore::Deliver(StoreWatchId aId, const StoreWatchBatch& aBatch)
 {
-  Own& own = watches_.at(aId);
-  StoreWatchBatch news = aBatch;
-  std::erase_if(news.events_, [&own](const StoreEvent& aEvent) {
+  OwnWatch& own = watches_.at(aId);
+  StoreWatchBatch unseen = aBatch;
+  std::erase_if(unseen.events_, [&own](const StoreEvent& aEvent) {
     return aEvent.record_.modRevision_ <= own.after_;
   });
   own.after_ = std::max(own.after_, aBatch.revision_);
   const auto onBatch = own.onBatch_;
   if (aBatch.ended_) {
-    timers_.Cancel(own.beside_);
+    timers_.Cancel(own.backupTimer_);
     watches_.erase(aId);
   }
-  onBatch(news);
+  onBatch(unseen);
 }
 
 const WatchHistory*
--- a/src/daemon/relayed_store.hpp
+++ b/src/daemon/relayed_store.hpp
@@ -14,9 +14,9 @@
 namespace marjoramtally {
 
 /// Asks a peer for changes; the answer comes on the loop.
-using AskPeer = std::function<void(const std::string& aAddress,
-                                   const WatchAsk& aAsk,
-                                   StoreDone<StoreWatchBatch> aDone)>;
+using QueryPeer = std::function<void(const std::string& aAddress,
+                                     const WatchAsk& aAsk,
+                                     StoreDone<StoreWatchBatch> aDone)>;
 
 /// @returns addresses of a prefix's relays to ask now, in order
 using RelaysOf =
@@ -30,7 +30,7 @@
   RelayedStore(Store& aStore,
                LoopTimers& aTimers,
                const Clock& aClock,
-               AskPeer aAskPeer,
+               QueryPeer aQueryPeer,
                RelaysOf aRelays);
   ~RelayedStore() override;
 
@@ -57,7 +57,7 @@
 
 private:
   /// One watch of this process.
-  struct Own
+  struct OwnWatch
   {
     std::string prefix_;
     std::uint64_t after_ = 0;
@@ -72,38 +72,38 @@
     /// Relays in a row that answered no.
     std::size_t refusals_ = 0;
     /// Since when no relay has vouched for what is known here.
-    TimePoint unconfirmed_;
+    TimePoint unconfirmedSince_;
     std::uint64_t round_ = 0;
     /// When a second relay is asked beside the first.
-    LoopTimerId beside_ = 0;
+    LoopTimerId backupTimer_ = 0;
     /// The last relay told much.
-    bool busy_ = false;
+    bool largeAnswers_ = false;
     /// In this round of relays one held too little history.
-    bool lost_ = false;
+    bool historyLost_ = false;
     /// When the store or a relay last vouched for what is known here.
-    TimePoint heard_;
+    TimePoint confirmedAt_;
   };
 
   void Open(StoreWatchId aId);
-  void OpenLater(StoreWatchId aId);
+  void ReopenAfterDelay(StoreWatchId aId);
   /// No relay vouches for what is known here.
-  void Unconfirmed(StoreWatchId aId);
+  void OnUnconfirmed(StoreWatchId aId);
   /// Tells the watcher that nobody vouches for what it knows.
-  void TellDoubt(StoreWatchId aId);
+  void NotifyInterrupted(StoreWatchId aId);
   void OpenDirect(StoreWatchId aId);
   void OnDirect(StoreWatchId aId, const StoreWatchBatch& aBatch);
-  void AskRelay(StoreWatchId aId, const std::string& aAddress);
+  void QueryRelay(StoreWatchId aId, const std::string& aAddress);
   /// Asks a second relay for what the first has not told yet.
-  void AskBeside(StoreWatchId aId, std::uint64_t aRound);
-  void OnBeside(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch);
+  void QueryBackup(StoreWatchId aId, std::uint64_t aRound);
+  void OnBackupAnswer(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch);
   void OnRelay(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch);
   /// Tells of changes that are not known here yet: two sources tell of the
   /// same ones.
   void Deliver(StoreWatchId aId, const StoreWatchBatch& aBatch);
   /// Notes that a source vouched for what is known here, and tells for how
   /// long none had.
-  void Heard(Own& aOwn, std::string_view aSource);
-  [[nodiscard]] Own* Find(StoreWatchId aId);
+  void OnConfirmed(OwnWatch& aOwn, std::string_view aSource);
+  [[nodiscard]] OwnWatch* Find(StoreWatchId aId);
   /// @returns what the store's own watch of a prefix told; nullptr if there is
   /// none
   [[nodiscard]] const WatchHistory* HistoryOfServed(
@@ -112,16 +112,16 @@
   Store& store_;
   LoopTimers& timers_;
   const Clock& clock_;
-  AskPeer askPeer_;
+  QueryPeer queryPeer_;
   RelaysOf relays_;
   /// The store did not answer here; it is not asked for watches before this
   /// time, as long as relays may say when it is back.
-  TimePoint probeAt_;
-  Backoff probes_;
+  TimePoint nextProbeAt_;
+  Backoff probeDelays_;
   /// The watch that tries the store for all of this process.
-  StoreWatchId probing_ = 0;
+  StoreWatchId probingWatch_ = 0;
   StoreWatchId last_ = 0;
-  std::map<StoreWatchId, Own> watches_;
+  std::map<StoreWatchId, OwnWatch> watches_;
   RelayAnswers answers_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/daemon/upstream_reader.cpp
+++ b/src/daemon/upstream_reader.cpp
@@ -9,17 +9,17 @@
 {
   auto entry = formats_.ReadUpstream(aRecord.key_, aRecord.value_);
   if (entry) {
-    faults_.erase(aRecord.key_);
+    errors_.erase(aRecord.key_);
     return std::move(entry).value();
   }
-  std::string& fault = faults_[aRecord.key_];
-  if (fault != entry.error().message_) {
-    fault = entry.error().message_;
+  std::string& error = errors_[aRecord.key_];
+  if (error != entry.error().message_) {
+    error = entry.error().message_;
     LogEvent(LogLevel::Error,
              "upstream_unreadable",
              { { "key", aRecord.key_ },
                { "revision", std::to_string(aRecord.modRevision_) },
-               { "error", fault } });
+               { "error", error } });
   }
   return std::nullopt;
 }
@@ -36,7 +36,7 @@
     }
   }
   std::erase_if(
-    faults_, [&](const auto& aFault) { return !keys.contains(aFault.first); });
+    errors_, [&](const auto& aError) { return !keys.contains(aError.first); });
   return entries;
 }
 
--- a/src/daemon/upstream_reader.hpp
+++ b/src/daemon/upstream_reader.hpp
@@ -26,7 +26,7 @@
 private:
   const Platform& formats_;
   /// What was wrong with the entries that cannot be read, by key.
-  std::map<std::string, std::string> faults_;
+  std::map<std::string, std::string> errors_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/gatewayd/gateway.cpp
+++ b/src/programs/gatewayd/gateway.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-Gateway::Gateway(GatewayContext& aHost, Doors& aListeners)
+Gateway::Gateway(GatewayContext& aHost, Listeners& aListeners)
   : host_(aHost)
   , listeners_(aListeners)
   , reader_(aHost.Formats())
@@ -158,7 +158,7 @@
 void
 Gateway::FollowConfig()
 {
-  config_.onAll_ = [this](const StoreRange& aRange) {
+  config_.onSnapshot_ = [this](const StoreRange& aRange) {
     for (const StoreRecord& record : aRange.records_) {
       ApplyConfig(record);
     }
@@ -168,14 +168,14 @@
       ApplyConfig(aEvent.record_);
     }
   };
-  config_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
-  config_.onVouched_ = [this](Duration aAge) {
+  config_.onBatchEnd_ = [this] { runner_.OnUpstreamsChanged(); };
+  config_.onConfirmed_ = [this](Duration aAge) {
     configConfirmedAt_ = std::max(configConfirmedAt_, host_.Now() - aAge);
     configUnconfirmed_ = false;
     host_.Measures().Set("config_age_seconds",
                          std::chrono::duration<double>(aAge).count());
   };
-  config_.onDoubted_ = [this] { configUnconfirmed_ = true; };
+  config_.onInterrupted_ = [this] { configUnconfirmed_ = true; };
   config_.Start(kWatchDelay);
 }
 
@@ -213,7 +213,7 @@
 void
 Gateway::FollowUpstreams()
 {
-  upstreams_.onAll_ = [this](const StoreRange& aRange) {
+  upstreams_.onSnapshot_ = [this](const StoreRange& aRange) {
     ApplyUpstreamList(aRange);
   };
   upstreams_.onChange_ = [this](const StoreEvent& aEvent) {
@@ -226,7 +226,7 @@
       ApplyUpstream(aEvent.record_);
     }
   };
-  upstreams_.onSettled_ = [this] { runner_.OnUpstreamsChanged(); };
+  upstreams_.onBatchEnd_ = [this] { runner_.OnUpstreamsChanged(); };
   upstreams_.Start(kWatchDelay);
 }
 
@@ -308,7 +308,7 @@
   if (configUnconfirmed_) {
     return "nobody vouches for the configuration";
   }
-  return livenessLease_.Reached() ? "" : "the store does not answer";
+  return livenessLease_.StoreReachable() ? "" : "the store does not answer";
 }
 
 void
--- a/src/programs/gatewayd/gateway.hpp
+++ b/src/programs/gatewayd/gateway.hpp
@@ -15,7 +15,7 @@
 {
 public:
   /// Both arguments outlive this.
-  Gateway(GatewayContext& aHost, Doors& aListeners);
+  Gateway(GatewayContext& aHost, Listeners& aListeners);
 
   /// Opens the listeners. May be called on any thread.
   /// @returns an error with the address that cannot be bound
@@ -55,7 +55,7 @@
   [[nodiscard]] std::string_view NotReadyReason() const;
 
   GatewayContext& host_;
-  Doors& listeners_;
+  Listeners& listeners_;
   RouteTable routes_;
   UpstreamReader reader_;
   UpstreamTable upstreamTable_;
--- a/src/programs/gatewayd/job_directory.cpp
+++ b/src/programs/gatewayd/job_directory.cpp
@@ -22,13 +22,13 @@
   , takeover_(aHost.Incarnation())
   , owners_(aHost.Incarnation())
 {
-  follower_.onAll_ = [this](const StoreRange& aRange) {
+  follower_.onSnapshot_ = [this](const StoreRange& aRange) {
     ApplySnapshot(aRange);
   };
   follower_.onChange_ = [this](const StoreEvent& aEvent) {
     ApplyChange(aEvent);
   };
-  follower_.onSettled_ = [this] { ClaimDue(); };
+  follower_.onBatchEnd_ = [this] { ClaimDue(); };
 }
 
 void
--- a/src/programs/orderd/duty_lease.cpp
+++ b/src/programs/orderd/duty_lease.cpp
@@ -48,7 +48,7 @@
       key_.Retry();
     }
   };
-  dutyRecords_.onAll_ = [this](const StoreRange& aRange) {
+  dutyRecords_.onSnapshot_ = [this](const StoreRange& aRange) {
     const bool held = std::any_of(
       aRange.records_.begin(),
       aRange.records_.end(),
--- a/src/programs/orderd/gateway_poll.cpp
+++ b/src/programs/orderd/gateway_poll.cpp
@@ -37,7 +37,7 @@
   calibrated_ = false;
   livenessRecords_ = std::make_unique<PrefixFollower>(
     host_.PlatformStore(), host_.Timers(), std::string(kLivenessPrefix));
-  livenessRecords_->onAll_ = [this](const StoreRange& aRange) {
+  livenessRecords_->onSnapshot_ = [this](const StoreRange& aRange) {
     liveGateways_.clear();
     for (const StoreRecord& record : aRange.records_) {
       OnLivenessRecord(record);
--- a/src/programs/orderd/order_duty.cpp
+++ b/src/programs/orderd/order_duty.cpp
@@ -50,7 +50,7 @@
                              void (OrderDuty::*aHandler)(const StoreRecord&)) {
     auto follower = std::make_unique<PrefixFollower>(
       host_.PlatformStore(), host_.Timers(), aPrefix);
-    follower->onAll_ = [this, aHandler](const StoreRange& aRange) {
+    follower->onSnapshot_ = [this, aHandler](const StoreRange& aRange) {
       for (const StoreRecord& record : aRange.records_) {
         (this->*aHandler)(record);
       }
@@ -62,11 +62,11 @@
         RemoveUpstream(host_.Formats().UpstreamOf(aEvent.record_.key_));
       }
     };
-    follower->onSettled_ = [this] { Plan(); };
+    follower->onBatchEnd_ = [this] { Plan(); };
     return follower;
   };
   upstreams_ = follow(places.upstreams_, &OrderDuty::OnUpstreamRecord);
-  upstreams_->onAll_ = [this](const StoreRange& aRange) {
+  upstreams_->onSnapshot_ = [this](const StoreRange& aRange) {
     OnUpstreamsRead(aRange);
   };
   versions_ = follow(places.versions_, &OrderDuty::OnVersionRecord);
--- a/tests/fake_store.hpp
+++ b/tests/fake_store.hpp
@@ -17,7 +17,7 @@
   /// Done, but the answer is lost.
   LosesAnswers,
   /// Nothing is done, and no answer comes.
-  Silent,
+  Unresponsive,
 };
 
 /// Records, leases and watches. Answers come with the next timer.
@@ -31,7 +31,7 @@
 
   StoreFault fault_ = StoreFault::None;
   /// Watches hear nothing while this holds.
-  bool deaf_ = false;
+  bool dropsEvents_ = false;
   std::size_t commits_ = 0;
   /// Readings that might have been old.
   std::size_t earlierReads_ = 0;
@@ -90,7 +90,7 @@
       });
       return;
     }
-    if (fault_ == StoreFault::Refuses || fault_ == StoreFault::Silent) {
+    if (fault_ == StoreFault::Refuses || fault_ == StoreFault::Unresponsive) {
       Answer<StoreCommit>(StoreCommit{}, std::move(aDone));
       return;
     }
@@ -116,7 +116,7 @@
     for (const std::string& key : aTxn.deletes_) {
       Erase(key, events);
     }
-    Tell(events);
+    SendEvents(events);
     Answer<StoreCommit>(StoreCommit{ true, revision_ }, std::move(aDone));
   }
 
@@ -141,7 +141,7 @@
 
   void RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone) override
   {
-    Lapse(aLease);
+    ExpireLease(aLease);
     Answer<bool>(true, std::move(aDone));
   }
 
@@ -164,7 +164,7 @@
     ++revision_;
     StoreRecord& record = records_[aKey];
     record = { aKey, aValue, revision_, revision_, 0 };
-    Tell({ { false, record } });
+    SendEvents({ { false, record } });
   }
 
   void Remove(const std::string& aKey)
@@ -172,11 +172,11 @@
     ++revision_;
     std::vector<StoreEvent> events;
     Erase(aKey, events);
-    Tell(events);
+    SendEvents(events);
   }
 
   /// A lease ends, and its keys with it.
-  void Lapse(StoreLeaseId aLease)
+  void ExpireLease(StoreLeaseId aLease)
   {
     leases_.erase(aLease);
     std::vector<std::string> keys;
@@ -190,16 +190,16 @@
     }
   }
 
-  void LapseAll()
+  void ExpireAllLeases()
   {
     const auto leases = leases_;
     for (const auto& [lease, ttl] : leases) {
-      Lapse(lease);
+      ExpireLease(lease);
     }
   }
 
   /// Tells all watches under a prefix something that is no change.
-  void TellBatch(const std::string& aPrefix, const StoreWatchBatch& aBatch)
+  void SendBatch(const std::string& aPrefix, const StoreWatchBatch& aBatch)
   {
     const auto watches = watches_;
     for (const auto& [id, watch] : watches) {
@@ -248,9 +248,9 @@
     }
   }
 
-  void Tell(const std::vector<StoreEvent>& aEvents)
+  void SendEvents(const std::vector<StoreEvent>& aEvents)
   {
-    if (deaf_) {
+    if (dropsEvents_) {
       return;
     }
     const auto watches = watches_;
--- a/tests/job_simulation.cpp
+++ b/tests/job_simulation.cpp
@@ -158,7 +158,7 @@
   }
   for (const StoreLeaseId lease : expired) {
     leases_.erase(lease);
-    fakes_.store_.Lapse(lease);
+    fakes_.store_.ExpireLease(lease);
   }
 }
 
--- a/tests/job_simulation.hpp
+++ b/tests/job_simulation.hpp
@@ -5,7 +5,7 @@
 #include "daemon/leased_key.hpp"
 #include "job_gateway.hpp"
 #include "marjoramtally/base/random.hpp"
-#include "reached_store.hpp"
+#include "store_link.hpp"
 
 namespace marjoramtally::test {
 
@@ -18,7 +18,7 @@
                    int aRun);
 
   std::string incarnation_;
-  ReachedStore store_;
+  StoreLink store_;
   JobGateway site_;
   LeasedKey liveness_;
   /// When a fault last affected it.
--- a/tests/reached_store.cpp
+++ b/tests/store_link.cpp
@@ -1,4 +1,4 @@
-#include "reached_store.hpp"
+#include "store_link.hpp"
 
 namespace marjoramtally::test {
 
@@ -15,7 +15,7 @@
 
 template<typename T>
 StoreDone<T>
-ReachedStore::Answered(StoreDone<T> aDone)
+StoreLink::UnlessCut(StoreDone<T> aDone)
 {
   return [this, done = std::move(aDone)](Result<T> aResult) {
     if (!cut_) {
@@ -29,9 +29,9 @@
 }
 
 void
-ReachedStore::Read(std::string aPrefix, StoreDone<StoreRange> aDone)
+StoreLink::Read(std::string aPrefix, StoreDone<StoreRange> aDone)
 {
-  auto done = Answered(std::move(aDone));
+  auto done = UnlessCut(std::move(aDone));
   if (cut_) {
     done(Error{ ErrorKind::Timeout, "no answer" });
   } else {
@@ -40,9 +40,9 @@
 }
 
 void
-ReachedStore::Commit(StoreTxn aTxn, StoreDone<StoreCommit> aDone)
+StoreLink::Commit(StoreTxn aTxn, StoreDone<StoreCommit> aDone)
 {
-  auto done = Answered(std::move(aDone));
+  auto done = UnlessCut(std::move(aDone));
   if (cut_) {
     done(Error{ ErrorKind::Timeout, "no answer" });
   } else {
@@ -51,9 +51,9 @@
 }
 
 void
-ReachedStore::GrantLease(Duration aTtl, StoreDone<StoreLease> aDone)
+StoreLink::GrantLease(Duration aTtl, StoreDone<StoreLease> aDone)
 {
-  auto done = Answered(std::move(aDone));
+  auto done = UnlessCut(std::move(aDone));
   if (cut_) {
     done(Error{ ErrorKind::Timeout, "no answer" });
     return;
@@ -67,9 +67,9 @@
 }
 
 void
-ReachedStore::KeepAlive(StoreLeaseId aLease, StoreDone<StoreLease> aDone)
+StoreLink::KeepAlive(StoreLeaseId aLease, StoreDone<StoreLease> aDone)
 {
-  auto done = Answered(std::move(aDone));
+  auto done = UnlessCut(std::move(aDone));
   if (cut_) {
     done(Error{ ErrorKind::Timeout, "no answer" });
     return;
@@ -83,9 +83,9 @@
 }
 
 void
-ReachedStore::RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone)
+StoreLink::RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone)
 {
-  auto done = Answered(std::move(aDone));
+  auto done = UnlessCut(std::move(aDone));
   if (cut_) {
     done(Error{ ErrorKind::Timeout, "no answer" });
   } else {
@@ -94,9 +94,9 @@
 }
 
 StoreWatchId
-ReachedStore::Watch(std::string aPrefix,
-                    std::uint64_t aFromRevision,
-                    std::function<void(const StoreWatchBatch&)> aOnBatch)
+StoreLink::Watch(std::string aPrefix,
+                 std::uint64_t aFromRevision,
+                 std::function<void(const StoreWatchBatch&)> aOnBatch)
 {
   const StoreWatchId id = ++last_;
   OwnWatch& own = watches_[id];
@@ -113,19 +113,19 @@
   own.inner_ = store_.Watch(std::move(aPrefix),
                             aFromRevision,
                             [this, id](const StoreWatchBatch& aBatch) {
-                              watches_.at(id).waiting_.push_back(aBatch);
+                              watches_.at(id).queued_.push_back(aBatch);
                               timers_.After(lag_ + Duration{ 1000 },
                                             [this, id] { Deliver(id); });
                             });
   if (!missed.events_.empty()) {
-    own.waiting_.push_back(std::move(missed));
+    own.queued_.push_back(std::move(missed));
     timers_.After(lag_ + Duration{ 1000 }, [this, id] { Deliver(id); });
   }
   return id;
 }
 
 void
-ReachedStore::StopWatch(StoreWatchId aWatch)
+StoreLink::StopWatch(StoreWatchId aWatch)
 {
   const auto it = watches_.find(aWatch);
   if (it != watches_.end()) {
@@ -135,14 +135,14 @@
 }
 
 void
-ReachedStore::Deliver(StoreWatchId aId)
+StoreLink::Deliver(StoreWatchId aId)
 {
   const auto it = watches_.find(aId);
-  if (cut_ || it == watches_.end() || it->second.waiting_.empty()) {
+  if (cut_ || it == watches_.end() || it->second.queued_.empty()) {
     return;
   }
-  const StoreWatchBatch batch = std::move(it->second.waiting_.front());
-  it->second.waiting_.pop_front();
+  const StoreWatchBatch batch = std::move(it->second.queued_.front());
+  it->second.queued_.pop_front();
   const auto onBatch = it->second.onBatch_;
   if (batch.ended_) {
     StopWatch(aId);
@@ -151,7 +151,7 @@
 }
 
 void
-ReachedStore::SetCut(bool aCut)
+StoreLink::SetCut(bool aCut)
 {
   cut_ = aCut;
   const std::uint64_t cuts = ++cuts_;
@@ -160,14 +160,14 @@
     return;
   }
   for (const auto& [id, watch] : watches_) {
-    for (std::size_t i = 0; i < watch.waiting_.size(); ++i) {
+    for (std::size_t i = 0; i < watch.queued_.size(); ++i) {
       timers_.After(Duration{ 1000 }, [this, id = id] { Deliver(id); });
     }
   }
 }
 
 void
-ReachedStore::Interrupt(std::uint64_t aCuts)
+StoreLink::Interrupt(std::uint64_t aCuts)
 {
   if (cuts_ != aCuts) {
     return;
@@ -179,11 +179,11 @@
 }
 
 void
-ReachedStore::LoseHistory()
+StoreLink::LoseHistory()
 {
   for (auto& [id, watch] : watches_) {
-    watch.waiting_.clear();
-    watch.waiting_.push_back({ true, false, 0, {} });
+    watch.queued_.clear();
+    watch.queued_.push_back({ true, false, 0, {} });
     timers_.After(lag_ + Duration{ 1000 }, [this, id = id] { Deliver(id); });
   }
 }
--- a/tests/reached_store.hpp
+++ b/tests/store_link.hpp
@@ -8,10 +8,10 @@
 namespace marjoramtally::test {
 
 /// The store as one process reaches it.
-class ReachedStore final : public Store
+class StoreLink final : public Store
 {
 public:
-  ReachedStore(FakeStore& aStore, LoopTimers& aTimers)
+  StoreLink(FakeStore& aStore, LoopTimers& aTimers)
     : store_(aStore)
     , timers_(aTimers)
   {
@@ -45,11 +45,11 @@
   {
     StoreWatchId inner_ = 0;
     std::function<void(const StoreWatchBatch&)> onBatch_;
-    std::deque<StoreWatchBatch> waiting_;
+    std::deque<StoreWatchBatch> queued_;
   };
 
   template<typename T>
-  StoreDone<T> Answered(StoreDone<T> aDone);
+  StoreDone<T> UnlessCut(StoreDone<T> aDone);
   void Deliver(StoreWatchId aId);
   /// Tells watches that nothing was heard, if the cut of that number lasts.
   void Interrupt(std::uint64_t aCuts);
--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -144,7 +144,7 @@
     void StopAccepting() override {}
     [[nodiscard]] std::uint64_t InFlight() const noexcept override { return 0; }
   };
-  struct Listeners final : Doors
+  struct Listeners final : Listeners
   {
     [[nodiscard]] Result<std::unique_ptr<HttpServer>> Serve(
       const ListenAddress& aAddress,
@@ -196,7 +196,7 @@
   /// A source of the watch confirms that nothing has changed.
   void ConfirmConfig(Duration aAge = {})
   {
-    store_.TellBatch(platform_->Places().config_,
+    store_.SendBatch(platform_->Places().config_,
                      { false, false, store_.Revision(), {}, aAge });
   }
 
@@ -301,7 +301,7 @@
   "a gateway whose watch is not confirmed answers unknown keys with 503")
 {
   KeyedGateway gateway;
-  gateway.store_.deaf_ = true;
+  gateway.store_.dropsEvents_ = true;
   gateway.timers_.Advance(2900ms);
   REQUIRE(gateway.Call("/x/1", { KeyedGateway::Key("k-x") })->status_ == 401);
   gateway.timers_.Advance(200ms);
@@ -329,7 +329,7 @@
 {
   KeyedGateway gateway;
   gateway.settings_.keyLimit_ = 5s;
-  gateway.store_.deaf_ = true;
+  gateway.store_.dropsEvents_ = true;
   gateway.timers_.Advance(4900ms);
   REQUIRE_FALSE(gateway.Call("/x/1", { KeyedGateway::Key("k-a") })->ended_);
   gateway.timers_.Advance(200ms);
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -26,7 +26,7 @@
 };
 
 /// Keeps the handlers of listeners by port.
-class FakeListeners final : public Doors
+class FakeListeners final : public Listeners
 {
 public:
   [[nodiscard]] Result<std::unique_ptr<HttpServer>> Serve(
@@ -104,7 +104,7 @@
   // The list was read and is empty.
   REQUIRE(fix.Ready()->status_ == 200);
   fix.store_.unreadable_ = fix.platform_->Places().upstreams_;
-  fix.store_.TellBatch(fix.store_.unreadable_, { true, false, 0, {} });
+  fix.store_.SendBatch(fix.store_.unreadable_, { true, false, 0, {} });
   fix.timers_.Advance(1s);
   REQUIRE(fix.Ready()->status_ == 200);
 }
@@ -134,13 +134,13 @@
   fix.gateway_->Start();
   fix.timers_.Advance(2s);
   REQUIRE(fix.Ready()->status_ == 200);
-  fix.store_.TellBatch(prefix, { false, true, 0, {} });
+  fix.store_.SendBatch(prefix, { false, true, 0, {} });
   const auto reply = fix.Ready();
   REQUIRE(reply->status_ == 503);
   REQUIRE(reply->body_.find("nobody vouches") != std::string::npos);
   // It still forwards requests, and is ready again after the first answer of a
   // source.
   fix.Call();
-  fix.store_.TellBatch(prefix, { false, false, fix.store_.Revision(), {} });
+  fix.store_.SendBatch(prefix, { false, false, fix.store_.Revision(), {} });
   REQUIRE(fix.Ready()->status_ == 200);
 }
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -229,7 +229,7 @@
   const bool watched = GENERATE(false, true);
   fix.GatewayFakes::store_.Remove(job_keys::Owner(kForeign));
   fix.timers_.Advance(10ms);
-  fix.GatewayFakes::store_.deaf_ = !watched;
+  fix.GatewayFakes::store_.dropsEvents_ = !watched;
   fix.Put(job_keys::Owner(kForeign), "no record");
   const auto reply = fix.Query(JobQuery::Verb::Read);
   REQUIRE(reply->status_ == 503);
--- a/tests/test_job_directory.cpp
+++ b/tests/test_job_directory.cpp
@@ -101,7 +101,7 @@
 {
   DirectoryFixture fix;
   fix.store_.Remove(job_keys::Liveness("other~1"));
-  fix.store_.deaf_ = true;
+  fix.store_.dropsEvents_ = true;
   fix.timers_.Advance(3s);
   REQUIRE(fix.owners_.size() == 2);
   REQUIRE(fix.owners_.back() == "self~1");
@@ -111,7 +111,7 @@
 {
   DirectoryFixture fix;
   fix.store_.Remove(job_keys::Liveness("other~1"));
-  fix.store_.fault_ = StoreFault::Silent;
+  fix.store_.fault_ = StoreFault::Unresponsive;
   fix.store_.delay_ = 2s;
   fix.timers_.Advance(3s);
   REQUIRE(fix.store_.commits_ == 1);
@@ -306,13 +306,13 @@
 TEST_CASE("a job that is missing from a complete read is no longer listed")
 {
   DirectoryFixture fix;
-  fix.store_.deaf_ = true;
+  fix.store_.dropsEvents_ = true;
   fix.store_.Remove(job_keys::Owner(kJob));
-  fix.store_.TellBatch(job_keys::kControl, { true, false, 0, {} });
+  fix.store_.SendBatch(job_keys::kControl, { true, false, 0, {} });
   fix.timers_.Advance(10ms);
   REQUIRE(fix.directory_.Find(kJob) == nullptr);
   // It is not claimed either.
-  fix.store_.deaf_ = false;
+  fix.store_.dropsEvents_ = false;
   fix.store_.Remove(job_keys::Liveness("other~1"));
   fix.timers_.Advance(5s);
   REQUIRE(fix.store_.commits_ == 0);
@@ -322,7 +322,7 @@
 {
   DirectoryFixture fix;
   const JobId later{ "later" };
-  fix.store_.TellBatch(job_keys::kControl, { true, false, 0, {} });
+  fix.store_.SendBatch(job_keys::kControl, { true, false, 0, {} });
   // The read is in progress.
   fix.store_.Put(job_keys::Owner(later), WriteOwnerRecord({ "other~1", 3, 0 }));
   fix.timers_.Advance(1ms);
@@ -344,10 +344,10 @@
   DirectoryFixture fix;
   fix.store_.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "self~1", 3, 0 }));
   REQUIRE(fix.owners_.back() == "self~1");
-  fix.store_.deaf_ = true;
+  fix.store_.dropsEvents_ = true;
   fix.store_.Put(job_keys::Owner(kJob), WriteOwnerRecord({ "other~1", 3, 0 }));
   fix.store_.Put(job_keys::End(kJob), "");
-  fix.store_.TellBatch(job_keys::kControl, { true, false, 0, {} });
+  fix.store_.SendBatch(job_keys::kControl, { true, false, 0, {} });
   fix.timers_.Advance(10ms);
   REQUIRE(fix.ends_ == std::vector<std::string>{ kJob.Get() });
   REQUIRE(fix.owners_.back() == "other~1");
--- a/tests/test_leased_key.cpp
+++ b/tests/test_leased_key.cpp
@@ -74,7 +74,7 @@
   key.Start();
   timers.Advance(10ms);
   REQUIRE(key.Held());
-  store.fault_ = StoreFault::Silent;
+  store.fault_ = StoreFault::Unresponsive;
   timers.Advance(1490ms);
   REQUIRE_FALSE(key.Held());
   timers.Advance(3s);
@@ -120,7 +120,7 @@
   LeasedKey key(store, timers, clock, { "life", "me", 1500ms, false });
   key.Start();
   timers.Advance(10ms);
-  store.LapseAll();
+  store.ExpireAllLeases();
   REQUIRE_FALSE(store.records_.contains("life"));
   timers.Advance(1s);
   REQUIRE(store.records_.contains("life"));
@@ -140,9 +140,9 @@
   timers.Advance(20ms);
   const StoreLeaseId now = store.records_.at("life").lease_;
   REQUIRE(now != before);
-  store.Lapse(before);
+  store.ExpireLease(before);
   REQUIRE(store.records_.contains("life"));
-  store.Lapse(now);
+  store.ExpireLease(now);
   REQUIRE_FALSE(store.records_.contains("life"));
 }
 
@@ -175,14 +175,14 @@
   const LogCapture log;
   SECTION("the store ended it")
   {
-    store.LapseAll();
+    store.ExpireAllLeases();
     timers.Advance(600ms);
     REQUIRE(
       log.Contains("event=lease_lost key=duty why=\"the store ended it\""));
   }
   SECTION("it was not renewed in time")
   {
-    store.fault_ = StoreFault::Silent;
+    store.fault_ = StoreFault::Unresponsive;
     timers.Advance(3s);
     // Renewals that get no answer are not sent late.
     REQUIRE(log.Contains("renewal_delay_ms=0"));
--- a/tests/test_metered_store.cpp
+++ b/tests/test_metered_store.cpp
@@ -28,8 +28,8 @@
   store->KeepAlive(1, [](const auto&) {});
   int batches = 0;
   store->Watch("mt/c/", 1, [&batches](const auto&) { ++batches; });
-  fake.TellBatch("mt/c/", { false, false, 5, {} });
-  fake.TellBatch("mt/c/", { false, true, 5, {} });
+  fake.SendBatch("mt/c/", { false, false, 5, {} });
+  fake.SendBatch("mt/c/", { false, true, 5, {} });
   REQUIRE(batches == 2);
   const std::string text = metrics.Render();
   for (const char* line :
--- a/tests/test_order_duty.cpp
+++ b/tests/test_order_duty.cpp
@@ -378,15 +378,15 @@
 {
   DutyFixture fix;
   REQUIRE(fix.OldestPath() == "http://e:1/report");
-  fix.store_.deaf_ = true;
+  fix.store_.dropsEvents_ = true;
   fix.store_.Remove("servers/i-1");
-  fix.store_.TellBatch("servers/", StoreWatchBatch{ true, false, 0, {} });
+  fix.store_.SendBatch("servers/", StoreWatchBatch{ true, false, 0, {} });
   fix.timers_.Advance(100ms);
   const std::size_t sent = fix.client_.sent_;
   fix.client_.Fail(fix.client_.Oldest(), HttpEnd::NotSent);
   fix.timers_.Advance(3s);
   REQUIRE(fix.client_.sent_ == sent);
-  fix.store_.deaf_ = false;
+  fix.store_.dropsEvents_ = false;
   fix.Register(2000);
   REQUIRE(fix.OldestPath() == "http://e:1/report");
 }
@@ -478,7 +478,7 @@
 {
   FleetFixture fix;
   const int before = fix.PlanCount();
-  fix.store_.fault_ = StoreFault::Silent;
+  fix.store_.fault_ = StoreFault::Unresponsive;
   fix.timers_.Advance(1400ms);
   fix.store_.Put("op/version/m", R"({"model":"m","version":3})");
   REQUIRE(fix.PlanCount() == before);
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -295,7 +295,7 @@
     stores.push_back(MakePlatformStore(link, timers, { "store:1" }));
     followers.push_back(
       std::make_unique<PrefixFollower>(*stores.back(), timers, "c"));
-    followers.back()->onAll_ = [&read](const StoreRange&) { ++read; };
+    followers.back()->onSnapshot_ = [&read](const StoreRange&) { ++read; };
     // Delays watches beyond the end of the simulation.
     followers.back()->Start(1min);
   }
--- a/tests/test_prefix_follower.cpp
+++ b/tests/test_prefix_follower.cpp
@@ -21,7 +21,7 @@
     ++changes;
     follower.reset();
   };
-  follower->onSettled_ = [&] { ++settled; };
+  follower->onBatchEnd_ = [&] { ++settled; };
   follower->Start();
   timers.Advance(10ms);
   REQUIRE(settled == 1);
@@ -39,14 +39,14 @@
   FakeStore store(timers);
   PrefixFollower follower(store, timers, "k/");
   std::size_t last = 0;
-  follower.onAll_ = [&](const StoreRange& aRange) {
+  follower.onSnapshot_ = [&](const StoreRange& aRange) {
     last = aRange.records_.size();
   };
   follower.Start();
   timers.Advance(10ms);
-  store.deaf_ = true;
+  store.dropsEvents_ = true;
   store.Put("k/a", "1");
-  store.TellBatch("k/", { true, false, 0, {} });
+  store.SendBatch("k/", { true, false, 0, {} });
   timers.Advance(10ms);
   REQUIRE(last == 1);
 }
@@ -64,7 +64,7 @@
   REQUIRE(store.CountWatches("k/") == 1);
   REQUIRE(store.watchedFrom_.at("k/") == store.Revision() + 1);
   // Later watches open at once.
-  store.TellBatch("k/", { true, false, 0, {} });
+  store.SendBatch("k/", { true, false, 0, {} });
   timers.Advance(10ms);
   REQUIRE(store.CountWatches("k/") >= 1);
 }
@@ -81,16 +81,16 @@
   FakeStore store(timers);
   PrefixFollower follower(store, timers, "k/");
   std::size_t last = 0;
-  follower.onAll_ = [&](const StoreRange& aRange) {
+  follower.onSnapshot_ = [&](const StoreRange& aRange) {
     last = aRange.records_.size();
   };
   follower.Start();
   timers.Advance(10ms);
   REQUIRE(store.earlierReads_ == 1);
-  store.deaf_ = true;
+  store.dropsEvents_ = true;
   store.Put("k/a", "1");
   store.earlierRevision_ = 1;
-  store.TellBatch("k/", { true, false, 0, {} });
+  store.SendBatch("k/", { true, false, 0, {} });
   timers.Advance(10ms);
   REQUIRE(last == 1);
   REQUIRE(store.earlierReads_ == 1);
@@ -117,7 +117,7 @@
   PrefixFollower follower(store, timers, "k/");
   int all = 0;
   int failures = 0;
-  follower.onAll_ = [&](const StoreRange&) { ++all; };
+  follower.onSnapshot_ = [&](const StoreRange&) { ++all; };
   follower.onFailure_ = [&](const Error&) { ++failures; };
   store.fault_ = StoreFault::Refuses;
   follower.Start();
--- a/tests/test_relays.cpp
+++ b/tests/test_relays.cpp
@@ -4,7 +4,7 @@
 #include "daemon/relayed_store.hpp"
 #include "fake_store.hpp"
 #include "marjoramtally/process.hpp"
-#include "reached_store.hpp"
+#include "store_link.hpp"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -48,7 +48,7 @@
   ManualClock clock_;
   ManualTimers timers_{ clock_ };
   FakeStore store_{ timers_ };
-  std::vector<std::string> none_;
+  std::vector<std::string> noRelays_;
   std::vector<std::string> relays_{ "first" };
   bool cut_ = false;
   RelayedStore first_{ store_,
@@ -56,7 +56,7 @@
                        clock_,
                        [](const auto&, const auto&, const auto&) {},
                        [this](const auto&) -> const std::vector<std::string>& {
-                         return none_;
+                         return noRelays_;
                        } };
   RelayedStore second_{
     store_,
@@ -95,7 +95,7 @@
   /// What the adapter tells after each renewal of a watch.
   void Renew()
   {
-    store_.TellBatch("k/", { false, false, store_.Revision(), {} });
+    store_.SendBatch("k/", { false, false, store_.Revision(), {} });
   }
 };
 
@@ -198,30 +198,30 @@
   two.Start();
   two.timers_.Advance(100ms);
   const std::uint64_t known = two.store_.Revision();
-  two.store_.TellBatch(
+  two.store_.SendBatch(
     "k/", { false, false, known + 1, { MakeEvent("k/a", known + 1) } });
-  std::vector<StoreWatchBatch> told;
+  std::vector<StoreWatchBatch> answers;
   const auto ask = [&](std::uint64_t aAfter) {
-    two.first_.Serve({ "k/", aAfter, 1000ms },
-                     [&told](const Result<std::string>& aBytes) {
-                       told.push_back(DecodeWatchBatch(aBytes.value()).value());
-                     });
+    two.first_.Serve(
+      { "k/", aAfter, 1000ms }, [&answers](const Result<std::string>& aBytes) {
+        answers.push_back(DecodeWatchBatch(aBytes.value()).value());
+      });
   };
   ask(known);
   ask(known + 1);
   ask(known);
-  REQUIRE(told.size() == 2);
-  two.store_.TellBatch(
+  REQUIRE(answers.size() == 2);
+  two.store_.SendBatch(
     "k/", { false, false, known + 2, { MakeEvent("k/b", known + 2) } });
   ask(known);
   ask(known + 1);
-  REQUIRE(told.size() == 5);
+  REQUIRE(answers.size() == 5);
   const std::vector<std::size_t> events{ 1, 1, 1, 2, 1 };
-  for (std::size_t i = 0; i < told.size(); ++i) {
-    REQUIRE(told[i].events_.size() == events[i]);
+  for (std::size_t i = 0; i < answers.size(); ++i) {
+    REQUIRE(answers[i].events_.size() == events[i]);
   }
-  REQUIRE(told[2].events_.front().record_.key_ == "k/b");
-  REQUIRE(told[4].revision_ == known + 2);
+  REQUIRE(answers[2].events_.front().record_.key_ == "k/b");
+  REQUIRE(answers[4].revision_ == known + 2);
 }
 
 TEST_CASE("a peer that does not inflate is told in plain, beside one that does")
@@ -239,7 +239,7 @@
                        sizes[inflates] = aBytes.value().size();
                      });
   }
-  two.store_.TellBatch("k/", { false, false, known + 1, { event } });
+  two.store_.SendBatch("k/", { false, false, known + 1, { event } });
   REQUIRE(sizes.at(false) > 20'000);
   REQUIRE(sizes.at(true) < 2'000);
 }
@@ -332,7 +332,7 @@
   TwoProcesses two;
   two.Start();
   two.timers_.Advance(100ms);
-  two.store_.TellBatch("k/", { false, true, 0, {} });
+  two.store_.SendBatch("k/", { false, true, 0, {} });
   two.timers_.Advance(10ms);
   REQUIRE(two.store_.CountWatches("k/") == 2);
 }
@@ -342,7 +342,7 @@
   TwoProcesses two;
   two.Start();
   two.timers_.Advance(100ms);
-  two.store_.TellBatch("k/", { false, true, 0, {} });
+  two.store_.SendBatch("k/", { false, true, 0, {} });
   two.timers_.Advance(10ms);
   for (int i = 0; i < 5; ++i) {
     two.Renew();
@@ -433,12 +433,12 @@
   };
 
   /// Each watch is told after 20 ms that the store does not answer.
-  void Play(Duration aTime)
+  void Run(Duration aTime)
   {
     for (Duration past{ 0 }; past < aTime; past += 20ms) {
       timers_.Advance(20ms);
       for (const char* prefix : { "a/", "b/", "c/" }) {
-        store_.TellBatch(prefix, { false, true, 0, {} });
+        store_.SendBatch(prefix, { false, true, 0, {} });
       }
     }
   }
@@ -452,7 +452,7 @@
   for (const char* prefix : { "a/", "b/", "c/" }) {
     cut.process_.Watch(prefix, 2, [](const auto&) {});
   }
-  cut.Play(10s);
+  cut.Run(10s);
   // A first try for each prefix, then pauses of 0.7 to 3 s for the process.
   REQUIRE(cut.store_.openedWatches_ >= 5);
   REQUIRE(cut.store_.openedWatches_ <= 14);
@@ -462,10 +462,10 @@
 {
   CutProcess cut;
   cut.process_.Watch("a/", 2, [](const auto&) {});
-  cut.Play(3s);
+  cut.Run(3s);
   const std::size_t before = cut.store_.openedWatches_;
   cut.relaysKnow_ = true;
-  cut.Play(5s);
+  cut.Run(5s);
   REQUIRE(cut.store_.openedWatches_ <= before + 1);
   REQUIRE(cut.store_.CountWatches("a/") == 0);
 }
@@ -493,7 +493,7 @@
                    [&kind](const Result<std::string>& aBatch) {
                      kind = aBatch.error().kind_;
                    });
-  two.store_.TellBatch("k/", { true, false, 0, {} });
+  two.store_.SendBatch("k/", { true, false, 0, {} });
   REQUIRE(kind == ErrorKind::Conflict);
 }
 
@@ -523,7 +523,7 @@
   }
   StoreEvent event = MakeEvent("k/large", two.store_.Revision() + 1);
   event.record_.value_ = std::string(bytes, 'v');
-  two.store_.TellBatch("k/",
+  two.store_.SendBatch("k/",
                        { false, false, event.record_.modRevision_, { event } });
   REQUIRE(kinds == std::vector<ErrorKind>(3, ErrorKind::Conflict));
 }
@@ -537,9 +537,9 @@
   ManualClock clock_;
   ManualTimers timers_{ clock_ };
   FakeStore store_{ timers_ };
-  std::vector<std::string> none_;
+  std::vector<std::string> noRelays_;
   std::vector<std::string> names_{ "first", "second" };
-  std::map<std::string, std::unique_ptr<ReachedStore>> ways_;
+  std::map<std::string, std::unique_ptr<StoreLink>> links_;
   std::map<std::string, std::unique_ptr<RelayedStore>> relays_;
   /// Relays that answer nobody.
   std::set<std::string> silent_;
@@ -550,20 +550,20 @@
   TwoRelays()
   {
     for (const std::string& name : names_) {
-      ways_[name] = std::make_unique<ReachedStore>(store_, timers_);
+      links_[name] = std::make_unique<StoreLink>(store_, timers_);
       relays_[name] = std::make_unique<RelayedStore>(
-        *ways_[name],
+        *links_[name],
         timers_,
         clock_,
         [](const auto&, const auto&, const auto&) {},
         [this](const auto&) -> const std::vector<std::string>& {
-          return none_;
+          return noRelays_;
         });
       relays_[name]->Watch("k/", store_.Revision() + 1, [](const auto&) {});
     }
-    ways_["own"] = std::make_unique<ReachedStore>(store_, timers_);
+    links_["own"] = std::make_unique<StoreLink>(store_, timers_);
     process_ = std::make_unique<RelayedStore>(
-      *ways_.at("own"),
+      *links_.at("own"),
       timers_,
       clock_,
       [this](const std::string& aRelay,
@@ -601,7 +601,7 @@
 
   void Renew()
   {
-    store_.TellBatch("k/", { false, false, store_.Revision(), {} });
+    store_.SendBatch("k/", { false, false, store_.Revision(), {} });
     timers_.After(1s, [this] { Renew(); });
   }
 };
@@ -620,7 +620,7 @@
   CAPTURE(relay);
   SECTION("it is cut off from the store")
   {
-    fix.ways_.at(relay)->SetCut(true);
+    fix.links_.at(relay)->SetCut(true);
   }
   SECTION("it is silent")
   {
@@ -645,21 +645,21 @@
     const std::string& relay = fix.names_[random.Below(2)];
     switch (random.Below(6)) {
       case 0:
-        fix.ways_.at(relay)->SetCut(true);
+        fix.links_.at(relay)->SetCut(true);
         break;
       case 1:
-        fix.ways_.at(relay)->SetLag(
+        fix.links_.at(relay)->SetLag(
           std::chrono::milliseconds(random.Below(800)));
         break;
       default:
-        fix.ways_.at(relay)->SetCut(false);
-        fix.ways_.at(relay)->SetLag(Duration{ 0 });
+        fix.links_.at(relay)->SetCut(false);
+        fix.links_.at(relay)->SetLag(Duration{ 0 });
     }
     fix.timers_.Advance(std::chrono::milliseconds(random.Below(300)));
   }
   for (const std::string& relay : fix.names_) {
-    fix.ways_.at(relay)->SetCut(false);
-    fix.ways_.at(relay)->SetLag(Duration{ 0 });
+    fix.links_.at(relay)->SetCut(false);
+    fix.links_.at(relay)->SetLag(Duration{ 0 });
   }
   fix.timers_.Advance(3s);
   REQUIRE(fix.seen_ == put);
--- a/tests/test_supply.cpp
+++ b/tests/test_supply.cpp
@@ -356,7 +356,7 @@
 TEST_CASE("a process that does not hold the lease orders nothing")
 {
   SupplyFixture fix;
-  fix.store_.fault_ = StoreFault::Silent;
+  fix.store_.fault_ = StoreFault::Unresponsive;
   fix.timers_.Advance(5s);
   fix.Round(30);
   fix.timers_.Advance(1s);
--- a/tests/test_usage.cpp
+++ b/tests/test_usage.cpp
@@ -470,7 +470,7 @@
       }
       const std::uint64_t trouble = random.Next() % 40;
       if (trouble == 0) {
-        fix.store_.LapseAll();
+        fix.store_.ExpireAllLeases();
       } else if (trouble == 1) {
         fix.store_.fault_ = StoreFault::LosesAnswers;
       } else if (trouble == 2) {
