--- a/src/daemon/budgeted_store.hpp
+++ b/src/daemon/budgeted_store.hpp
@@ -1,5 +1,5 @@
-/// Counts this process's calls to the platform's store and keeps its reads
-/// within a budget.
+/// Counts this process's calls to the platform's store and limits its reads and
+/// watches to a budget.
 #pragma once
 
 #include "marjoramtally/process/lease.hpp"
@@ -9,15 +9,17 @@
 
 namespace marjoramtally {
 
-/// Share of the store's rate for one process.
+/// This process's share of the store's capacity, in calls.
 struct StoreRate
 {
   double perSecond_ = 4;
   double burst_ = 100;
 };
 
-/// Wraps a store. Refused reads fail as `Unavailable`; a refused watch ends
-/// at once. Both arguments outlive the result.
+/// Wraps a store. Reads over the budget fail with `Unavailable`; a watch over
+/// the budget ends immediately. Other calls are never refused.
+/// @param aMetrics counts `store_calls` and `store_calls_refused` by kind;
+/// outlives the store
 [[nodiscard]] std::unique_ptr<Store>
 MakeBudgetedStore(std::unique_ptr<Store> aStore,
                   StoreRate aRate,
--- a/src/daemon/config_relay.hpp
+++ b/src/daemon/config_relay.hpp
@@ -1,16 +1,16 @@
-/// What heartbeats between instances carry of the configuration.
+/// Exchange of configuration revisions in heartbeats between instances.
 #pragma once
 
 #include "marjoramtally/base/ids.hpp"
 
 namespace marjoramtally {
 
-/// Hears revisions from peers and tells the one in force here.
+/// Receives the revisions of peers and provides the one in force here.
 class ConfigRelay
 {
 public:
   virtual ~ConfigRelay() = default;
-  /// A peer has this revision in force: fetches it if it is higher.
+  /// Handles the revision in force at a peer: fetches it if it is higher.
   /// @param aPeer the peer's RPC address
   virtual void OnReceivedRevision(ConfigRevision aRevision,
                                   const std::string& aPeer) = 0;
--- a/src/daemon/gateway_context.hpp
+++ b/src/daemon/gateway_context.hpp
@@ -1,5 +1,5 @@
-/// What the parts of a daemon on the users' platform work with; tests put
-/// fakes in place of all of it.
+/// Dependencies of the components of a daemon on the users' platform. Tests
+/// replace all of them by fakes.
 #pragma once
 
 #include "daemon/gateway_settings.hpp"
@@ -14,11 +14,11 @@
 
 namespace marjoramtally {
 
-/// A connection to an upstream takes a few milliseconds within the platform;
-/// one that takes longer goes to a dead upstream.
+/// Connecting to an upstream within the platform takes a few milliseconds, so
+/// an upstream that does not accept within this time is considered dead.
 inline constexpr auto kUpstreamConnectTimeout = std::chrono::milliseconds(250);
 
-/// Calls between gateways. Answers come on the loop.
+/// RPC between processes. Handlers and completions run on the loop.
 class PeerCalls
 {
 public:
@@ -26,11 +26,11 @@
   virtual void Call(const std::string& aAddress,
                     RpcCall aCall,
                     RpcDone aDone) = 0;
-  /// Answers calls of a topic from now on.
+  /// Registers the handler of a topic's calls.
   virtual void Serve(RpcTopic aTopic, RpcHandler aHandler) = 0;
 };
 
-/// Opens doors whose requests are handled on the loop.
+/// Opens HTTP listeners whose requests are handled on the loop.
 class Listeners
 {
 public:
@@ -42,11 +42,11 @@
     HttpHandler aHandler) = 0;
 };
 
-/// References to the process's settings, clocks and doors to the outside.
+/// References to the process's settings, clocks and connections.
 class GatewayContext
 {
 public:
-  /// All that is pointed to outlives this.
+  /// All pointees outlive the context.
   struct Parts
   {
     const GatewaySettings* settings_ = nullptr;
@@ -80,7 +80,7 @@
   [[nodiscard]] LoopTimers& Timers() const noexcept { return *parts_.timers_; }
   [[nodiscard]] Store& PlatformStore() const noexcept { return *parts_.store_; }
   [[nodiscard]] TimePoint Now() const noexcept { return parts_.clock_->Now(); }
-  /// Counts the time for which the machine was suspended.
+  /// Advances while the machine is suspended.
   [[nodiscard]] const Clock& LeaseClock() const noexcept
   {
     return *parts_.leaseClock_;
@@ -90,17 +90,17 @@
   {
     return parts_.wallClock_->Now() - TimePoint{};
   }
-  /// @returns the time of day in milliseconds since the Unix epoch, as records
-  /// in the store hold it
+  /// @returns the time of day in milliseconds since the Unix epoch, the format
+  /// of times in stored records
   [[nodiscard]] std::int64_t WallMillis() const noexcept
   {
     return WholeMillis(WallTime());
   }
   [[nodiscard]] Metrics& Measures() const noexcept { return *parts_.metrics_; }
-  /// Which processes watch the store for the others.
+  /// Assigns the processes that watch the store on behalf of others.
   [[nodiscard]] RelayPlan& Relays() const noexcept { return *parts_.relays_; }
   [[nodiscard]] PeerCalls& Peers() const noexcept { return *parts_.peers_; }
-  /// Names this run of the process.
+  /// Identifies this run of the process.
   [[nodiscard]] const std::string& Incarnation() const noexcept
   {
     return parts_.incarnation_;
--- a/src/daemon/gateway_host.cpp
+++ b/src/daemon/gateway_host.cpp
@@ -15,17 +15,18 @@
 
 namespace {
 
-/// The end is not left to the forced kill: this long before it the process
-/// ends by itself.
+/// The process exits by itself this long before the forced kill at the end of
+/// the grace period.
 constexpr auto kExitMargin = std::chrono::milliseconds(700);
-/// How often the end of the last request is looked for.
+/// How often a stopping process checks whether its last request has ended.
 constexpr auto kIdlePollInterval = std::chrono::milliseconds(100);
-/// For the way of a relay's answer, beyond the time it holds it back.
+/// Network time of a relay's answer, added to the time for which the relay may
+/// delay it.
 constexpr auto kRelayCallSlack = std::chrono::milliseconds(300);
-/// The metrics' reader sends no body.
+/// Requests for metrics have no body.
 constexpr std::uint64_t kMetricsBodyBytes = 1024;
 
-/// Calls of a node whose answers are brought to the loop.
+/// RPC node whose handlers and completions run on the loop.
 class LoopPeers final : public PeerCalls
 {
 public:
@@ -51,7 +52,8 @@
   {
     if (!node_) {
       pool_.Post(0, [done = std::move(aDone)] {
-        done(Error{ ErrorKind::Unavailable, "no calls between processes" });
+        done(Error{ ErrorKind::Unavailable,
+                    "RPC between processes is unavailable" });
       });
       return;
     }
@@ -92,7 +94,7 @@
                                std::to_string(getpid()));
 }
 
-/// Signals that the main thread waits for.
+/// @returns the signals that the main thread waits for
 sigset_t
 WaitedSignals()
 {
@@ -109,7 +111,7 @@
 void
 BlockDaemonSignals()
 {
-  // Threads inherit the mask, so that only `Run` sees these signals.
+  // Threads inherit the mask, so that only `Run` receives these signals.
   const sigset_t waited = WaitedSignals();
   pthread_sigmask(SIG_BLOCK, &waited, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
@@ -289,8 +291,8 @@
   const sigset_t waited = WaitedSignals();
   int signal = 0;
   while (sigwait(&waited, &signal) == 0 && signal == SIGHUP) {
-    // Addresses and identity stay for the life of a process; the operators'
-    // configuration is followed in the store.
+    // Addresses and identity are fixed for the lifetime of a process, and the
+    // operators' configuration is read from the store.
     LogEvent(LogLevel::Info, "reload", { { "outcome", "nothing to apply" } });
   }
   LogEvent(
--- a/src/daemon/gateway_host.hpp
+++ b/src/daemon/gateway_host.hpp
@@ -1,5 +1,5 @@
-/// What the daemons on the users' platform share: one event loop for all of
-/// their work, a client, the platform's store, signals and metrics.
+/// Runtime shared by the daemons on the users' platform: one event loop for all
+/// work, an HTTP client, the platform's store, signals and metrics.
 #pragma once
 
 #include "daemon/gateway_context.hpp"
@@ -9,24 +9,24 @@
 
 namespace marjoramtally {
 
-/// Makes the platform's store on a client and the timers of its loop.
+/// Creates the platform's store from an HTTP client and the timers of its loop.
 using StoreFactory =
   std::function<std::unique_ptr<Store>(HttpClient&,
                                        LoopTimers&,
                                        const std::string& aAddress)>;
 
-/// Keeps the stop and reload signals for `GatewayHost::Run`; first thing in a
-/// program.
+/// Blocks the stop and reload signals in all threads, so that
+/// `GatewayHost::Run` receives them. Call before any thread is started.
 void
 BlockDaemonSignals();
 
-/// One process. Everything but construction and `Run` happens on one loop,
-/// so that nothing needs a lock.
+/// One daemon process. Everything except construction and `Run` happens on one
+/// loop, so that no locks are needed.
 class GatewayHost final : public Listeners
 {
 public:
-  /// @param aRelayed watches of the store go through relays, and this process
-  /// may be one
+  /// @param aRelayed whether watches of the store go through relays and this
+  /// process may be a relay
   GatewayHost(GatewaySettings aSettings,
               std::unique_ptr<Platform> aPlatform,
               const StoreFactory& aStore,
@@ -42,9 +42,9 @@
     std::uint64_t aMaxBodyBytes,
     HttpHandler aHandler) override;
 
-  /// Runs until the process is to end: on the loop, `aStart` at once and
-  /// `aStop` when the stop signal came; then waits until `aIdle` holds or the
-  /// grace is nearly over. After it the loop is still.
+  /// Runs `aStart` on the loop, waits for a stop signal and runs `aStop` on the
+  /// loop. Then waits until `aIdle` returns true or the grace period is nearly
+  /// over, and stops the loop.
   void Run(const std::function<void()>& aStart,
            const std::function<void()>& aStop,
            const std::function<bool()>& aIdle);
--- a/src/daemon/gateway_settings.cpp
+++ b/src/daemon/gateway_settings.cpp
@@ -51,7 +51,7 @@
   if (!ParseListenAddress(it->second.text_)) {
     aFindings.Add(it->second.place_,
                   "[gateway] " + aKey + " = '" + it->second.text_ +
-                    "': not IP:PORT");
+                    "': expected IP:PORT");
   }
 }
 
@@ -84,7 +84,7 @@
   for (const auto& [name, other] : aDocument) {
     if (name != "gateway") {
       findings.Add(other.empty() ? file : other.begin()->second.place_,
-                   "[" + name + "] is not [gateway]");
+                   "unknown section [" + name + "]; expected [gateway]");
     }
   }
   ReadFields<Settings>("gateway", section, file, kFields, settings, findings);
@@ -95,7 +95,7 @@
   if (!ParseLogLevel(settings.logLevel_)) {
     findings.Add(file,
                  "[gateway] log-level = '" + settings.logLevel_ +
-                   "': none of debug, info, warn, error");
+                   "': expected debug, info, warn or error");
   }
   if (!findings.empty()) {
     return findings;
--- a/src/daemon/gateway_settings.hpp
+++ b/src/daemon/gateway_settings.hpp
@@ -7,52 +7,54 @@
 
 namespace marjoramtally {
 
-/// `[gateway]` of a settings file.
+/// Section `[gateway]` of a settings file.
 struct GatewaySettings
 {
   std::string instance_;
   std::string zone_;
-  /// IP number that peers and the metrics' reader reach.
+  /// IP address for RPC and metrics.
   std::string address_ = "127.0.0.1";
-  /// Where callers and the balancer's questions arrive, as IP:PORT; empty on
-  /// instances that callers do not reach.
+  /// Listen addresses for callers and for the load balancer's readiness checks,
+  /// as IP:PORT; empty on instances that do not serve callers.
   std::string front_;
   std::string ready_;
-  /// The platform's store, as IP:PORT.
+  /// Address of the platform's store, as IP:PORT.
   std::string store_;
-  /// Where peers ask for the store's changes; 0 relays nothing.
+  /// Port for RPC from peers, such as requests for the store's changes; 0
+  /// disables RPC and relaying.
   std::uint64_t rpcPort_ = 0;
-  /// 0 serves no metrics.
+  /// 0 disables the metrics endpoint.
   std::uint64_t metricsPort_ = 0;
-  /// How long the store keeps this process's leases without a heartbeat: the
-  /// time until others take over from a process that is gone.
+  /// How long the store keeps this process's leases without a renewal, which is
+  /// the time until others take over from a process that died.
   Duration leaseTtl_ = std::chrono::milliseconds(1500);
-  /// Whether upstreams refuse orders with an old fencing number.
+  /// Whether upstreams reject orders with an outdated fencing number.
   bool fencing_ = false;
-  /// A process that gives the orders back waits until so long after its last
-  /// one; where upstreams check no numbers, so does the next holder.
+  /// A process releases the duty of orders no sooner than this after its last
+  /// order. Where upstreams do not check fencing numbers, the next holder waits
+  /// for the same time.
   Duration orderTurn_ = std::chrono::seconds(3);
-  /// A change of the configuration is in force everywhere after this.
+  /// Time within which a configuration change is in force everywhere.
   Duration configBound_ = std::chrono::seconds(2);
-  /// By so much longer where a process is cut off from the store alone.
+  /// Additional time for a process that alone cannot reach the store.
   Duration configStretch_ = std::chrono::seconds(5);
-  /// Known keys are served on knowledge of at most this age; 0: both of the
-  /// bounds above together.
+  /// Maximum age of the configuration by which requests with known keys are
+  /// served; 0: the sum of the two bounds above.
   Duration keyLimit_{ 0 };
-  /// Where calls of duties go, as IP:PORT; empty: there are none.
+  /// Listen address for calls to duties, as IP:PORT; empty: none is opened.
   std::string dutyCalls_;
-  /// Length of a window of customers' use; 0: none is reported.
+  /// Length of a window of customers' usage; 0: usage is not reported.
   Duration usageWindow_{ 0 };
-  /// A window's report is due so long after its end.
+  /// Time after the end of a window by which its report is due.
   Duration usageLate_ = std::chrono::seconds(10);
-  /// From the stop signal to the forced end.
+  /// Time from the stop signal to the forced kill.
   Duration grace_ = std::chrono::seconds(8);
   /// How long a job's results can be read after its submission.
   Duration statusTime_ = std::chrono::seconds(120);
   std::string logLevel_ = "info";
 };
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct ListenAddress
 {
   std::string address_;
@@ -62,13 +64,13 @@
 [[nodiscard]] Checked<GatewaySettings>
 ReadGatewaySettings(const std::string& aFile, const IniDocument& aDocument);
 
-/// @returns nothing unless the text is IP:PORT
+/// @returns nothing if the text is not IP:PORT
 [[nodiscard]] std::optional<ListenAddress>
 ParseListenAddress(std::string_view aText);
 
-/// Parses the command line and loads the settings, reporting all findings to
-/// standard error.
-/// @returns nothing if the program is done; then `aExitCode` is set
+/// Parses the command line, loads the settings and starts the log. Reports all
+/// findings to standard error.
+/// @returns nothing if the program is to exit with `aExitCode`
 [[nodiscard]] std::optional<GatewaySettings>
 StartGatewayDaemon(int aArgc,
                    char** aArgv,
--- a/src/daemon/host.cpp
+++ b/src/daemon/host.cpp
@@ -101,7 +101,7 @@
   cluster_->onSeeds_ = [this](std::vector<std::string> aSeeds) {
     gossip_->SetSeeds(std::move(aSeeds));
   };
-  cluster_->Records().watches_ = [this] { return gossip_->IsBridge(); };
+  cluster_->Records().shouldWatch_ = [this] { return gossip_->IsBridge(); };
   cluster_->Records().onChange_ = [this](const std::string& aGroup,
                                          std::uint64_t aRevision) {
     GossipItem item;
--- a/src/daemon/lease_session.cpp
+++ b/src/daemon/lease_session.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr auto kStepPeriod = std::chrono::milliseconds(100);
-/// Share of the time to live that is kept as margin, up to the usual one.
+/// The margin is the time to live divided by this, at most the default margin.
 constexpr int kMarginDivisor = 4;
 
 LeaseOptions
@@ -120,7 +120,7 @@
   if (taken && aGrant) {
     Register();
   } else if (aGrant) {
-    // Nobody waits for it any more.
+    // The grant was no longer expected, so the lease is unused.
     store_.RevokeLease(aGrant.value().id_, [](const Result<bool>&) {});
   }
 }
--- a/src/daemon/lease_session.hpp
+++ b/src/daemon/lease_session.hpp
@@ -1,4 +1,4 @@
-/// Keeps this process's lease at the store and the record that lives by it.
+/// Keeps this process's lease at the store and the record attached to it.
 #pragma once
 
 #include "daemon/settings.hpp"
@@ -10,21 +10,21 @@
 
 namespace marjoramtally {
 
-/// Grants, registers, renews. Thread-safe.
+/// Obtains a lease, writes the record and renews the lease. Thread-safe.
 class LeaseSession
 {
 public:
   /// All arguments outlive the session.
   LeaseSession(const DaemonSettings& aSettings, Store& aStore, Timers& aTimers);
 
-  /// Starts to keep a lease with one record on it.
+  /// Starts to keep a lease with one record attached.
   void Start(std::string aKey, std::string aValue);
-  /// Revokes the lease; no other is taken.
+  /// Revokes the lease and requests no other.
   void Leave(std::function<void()> aDone);
-  /// @returns the lease if this process may act by it now, else 0; ask right
-  /// before each act
+  /// @returns the lease if this process may act under it now, else 0. Call it
+  /// immediately before each action.
   [[nodiscard]] StoreLeaseId Lease() const;
-  /// @returns when the store may let the lease go if no further heartbeat is
+  /// @returns when the lease may expire at the store if no further renewal is
   /// confirmed, by this process's clock
   [[nodiscard]] TimePoint ExpiresAt() const;
 
--- a/src/daemon/leased_key.cpp
+++ b/src/daemon/leased_key.cpp
@@ -8,10 +8,9 @@
 
 namespace {
 
-/// Renewals in the time of one lease.
 constexpr int kRenewalsPerTtl = 3;
-/// A lease counts as ours until this long before its end: covers the way of
-/// an order to an upstream and the drift of two clocks over one lease.
+/// A lease counts as held until this long before it expires. Covers the network
+/// time of an order to an upstream and the drift of two clocks over one lease.
 constexpr auto kExpiryMargin = std::chrono::milliseconds(400);
 constexpr auto kMinRetryDelay = std::chrono::milliseconds(100);
 constexpr auto kMaxRetryDelay = std::chrono::milliseconds(600);
@@ -95,8 +94,8 @@
   }
   options_.ttl_ = aTtl;
   if (held_) {
-    // The key will hang on the new lease; the one of before is left to lapse,
-    // which spares a priced call.
+    // The key is moved to the new lease. The previous lease is left to expire,
+    // which saves a billed call.
     ++epoch_;
     Schedule(Duration{ 0 }, &LeasedKey::Grant);
   }
@@ -176,7 +175,7 @@
     if (requestedTtl_ == options_.ttl_) {
       RenewAfter(options_.ttl_ / kRenewalsPerTtl);
     } else {
-      // Another length was set meanwhile.
+      // The time to live was changed while the key was written.
       Schedule(Duration{ 0 }, &LeasedKey::Grant);
     }
     if (onHeld_) {
@@ -185,7 +184,8 @@
     return;
   }
   if (aCommit) {
-    // Another process holds it, or an earlier write of ours did land.
+    // Another process holds the key, or an earlier write of this process was
+    // applied although its answer was lost.
     ReadBack();
     return;
   }
@@ -228,7 +228,7 @@
       Write();
       return;
     }
-    // Held by another: wait for a change, without a lease.
+    // Another process holds the key: wait for `Retry`, without a lease.
     waiting_ = true;
     store_.RevokeLease(lease_, [](const Result<bool>&) {});
     lease_ = 0;
--- a/src/daemon/leased_key.hpp
+++ b/src/daemon/leased_key.hpp
@@ -1,5 +1,5 @@
-/// A record of this process that hangs on a lease, kept as long as the
-/// process lives: a sign of life, or the ownership of a duty.
+/// A record attached to a lease that this process renews, such as a liveness
+/// record or the ownership of a duty.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -15,20 +15,20 @@
   std::string key_;
   std::string value_;
   Duration ttl_ = std::chrono::seconds(3);
-  /// Wait for a key that another process holds, instead of writing over it.
+  /// Wait for a key that another process holds, instead of overwriting it.
   bool exclusive_ = false;
-  /// @returns whether a value is that of an earlier run of this very process:
-  /// that one has ended, whatever its lease says. Used if exclusive.
+  /// @returns whether an earlier run of this process wrote the value. That run
+  /// has ended even if its lease has not expired. Used if exclusive.
   std::function<bool(const std::string&)> isOurs_ = {};
 };
 
-/// Grants a lease, writes the key, renews the lease, and starts over when it
-/// is lost. Used on one loop.
+/// Obtains a lease, writes the key, renews the lease, and starts again when the
+/// lease is lost. Used on one loop.
 class LeasedKey
 {
 public:
   /// All arguments outlive this.
-  /// @param aClock counts suspension, as the store does
+  /// @param aClock advances while the machine is suspended, as the store's does
   LeasedKey(Store& aStore,
             LoopTimers& aTimers,
             const Clock& aClock,
@@ -37,25 +37,26 @@
   LeasedKey(const LeasedKey&) = delete;
   LeasedKey& operator=(const LeasedKey&) = delete;
 
-  /// Set before `Start`. The key is ours since that revision.
+  /// Set before `Start`. Called with the revision at which the key was
+  /// acquired.
   std::function<void(FencingNumber)> onHeld_;
   std::function<void()> onLost_;
 
   void Start();
-  /// Keeps the key on a lease of another length from now on.
+  /// Moves the key to a lease with another time to live.
   void SetTtl(Duration aTtl);
-  /// Another process's key was seen to be gone.
+  /// Contends for the key again; call when another process's key was deleted.
   void Retry();
-  /// Gives the key up and contends for it anew after a while.
+  /// Releases the key and contends for it again after one time to live.
   void StartOver();
-  /// Ends the lease, so that others need not wait for it to lapse.
+  /// Revokes the lease, so that others need not wait until it expires.
   void Release();
 
-  /// @returns whether the key is ours for certain, less a margin for what is
+  /// @returns whether the key is certainly held, with a margin for messages
   /// sent now to arrive
   [[nodiscard]] bool Held() const noexcept;
   [[nodiscard]] FencingNumber Fence() const noexcept { return fence_; }
-  /// @returns whether the last call to the store was answered
+  /// @returns whether the store answered the last call
   [[nodiscard]] bool StoreReachable() const noexcept { return storeReachable_; }
 
 private:
@@ -79,7 +80,7 @@
   const Clock& clock_;
   LeasedKeyOptions options_;
   StoreLeaseId lease_ = 0;
-  /// The length that this lease was asked with.
+  /// Time to live requested for the current lease.
   Duration requestedTtl_{ 0 };
   FencingNumber fence_;
   bool held_ = false;
@@ -87,19 +88,18 @@
   bool waiting_ = false;
   bool storeReachable_ = false;
   bool released_ = false;
-  /// Revision of the key that our write replaces; 0: there is none.
+  /// Revision of the key that the next write replaces; 0: the key is absent.
   std::uint64_t replacedRevision_ = 0;
   TimePoint expiresAt_;
   TimePoint grantSentAt_;
-  /// When the next renewal is to be sent.
+  /// When the next renewal is due.
   TimePoint renewalDue_;
-  /// How much later than due the last renewal was sent, for other work of the
-  /// process.
+  /// How late the last renewal was sent because the process was busy.
   Duration renewalDelay_{ 0 };
   Backoff retryDelays_;
   LoopTimerId nextStep_ = 0;
-  /// Counts the leases given up; answers to calls about an earlier one are
-  /// ignored.
+  /// Incremented when a lease is abandoned; answers to calls about an earlier
+  /// lease are ignored.
   std::uint64_t epoch_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/daemon/live_records.cpp
+++ b/src/daemon/live_records.cpp
@@ -7,11 +7,14 @@
 constexpr auto kStepPeriod = std::chrono::milliseconds(100);
 constexpr auto kMinRetryDelay = std::chrono::milliseconds(200);
 constexpr auto kMaxRetryDelay = std::chrono::seconds(10);
-/// An instance that hears of changes reads all anyway this often.
+/// An instance that does not watch but receives hints reads all records this
+/// often, in refresh periods.
 constexpr int kRefreshPeriodsPerFullRead = 600;
-/// A watch that lags a hint by this long is helped by a read.
+/// If a watch has not delivered a hinted change after this time, the group is
+/// read.
 constexpr auto kWatchGrace = std::chrono::seconds(2);
-/// Reads after a hint are spread over this time.
+/// Reads after a hint are delayed by a random part of this time, since all
+/// instances receive the hint at once.
 constexpr std::uint64_t kHintReadJitterMicros = 200'000;
 
 } // namespace
@@ -46,11 +49,11 @@
   Read(prefix_);
 }
 
-/// Reads when due, and opens or closes the watch as the role says.
+/// Reads when due, and opens or closes the watch according to `shouldWatch_`.
 void
 LiveRecords::Step()
 {
-  const bool wanted = !watches_ || watches_();
+  const bool wanted = !shouldWatch_ || shouldWatch_();
   bool opens = false;
   StoreWatchId closes = 0;
   {
@@ -113,7 +116,8 @@
     reading_ = false;
     if (aRange.revision_ < knownRevisions_[aPrefix] ||
         aRange.revision_ < knownRevisions_[prefix_]) {
-      // Overtaken by a later read or by the watch, or an older store.
+      // A later read or the watch was faster, or the store answered with an
+      // older state.
       LogEvent(LogLevel::Info,
                "store_read_older",
                { { "revision", std::to_string(aRange.revision_) } });
@@ -133,7 +137,7 @@
       revision_ = aRange.revision_;
     }
     nextRead_ =
-      watching_ || !watches_ || watches_()
+      watching_ || !shouldWatch_ || shouldWatch_()
         ? clock_.Now()
         : clock_.Now() + settings_.refresh_ * kRefreshPeriodsPerFullRead;
   }
@@ -222,7 +226,7 @@
   }
 }
 
-/// Reads anew after a while, then watches again.
+/// Schedules a full read, after which the watch is opened again.
 void
 LiveRecords::OnWatchEnded()
 {
--- a/src/daemon/live_records.hpp
+++ b/src/daemon/live_records.hpp
@@ -1,5 +1,5 @@
-/// The store's records of what changes while the system runs, held here. Few
-/// instances of a zone watch the store; the others read what they hear has
+/// Local copy of the store's records that change at run time. A few instances
+/// of a zone watch the store; the others read the groups that these report as
 /// changed.
 #pragma once
 
@@ -20,12 +20,12 @@
 {
 public:
   using Listener = std::function<void(const LiveRecordMap&)>;
-  /// Told which group of records changed at which revision.
+  /// Called with a group of records and the revision at which it changed.
   using ChangeListener =
     std::function<void(const std::string& aGroup, std::uint64_t aRevision)>;
 
   /// All arguments outlive this.
-  /// @param aGroups prefixes that are read apart
+  /// @param aGroups prefixes that are read separately after a hint
   LiveRecords(const DaemonSettings& aSettings,
               Store& aStore,
               Timers& aTimers,
@@ -35,13 +35,14 @@
   /// Set before `Start`.
   Listener onRecords_;
   ChangeListener onChange_;
-  /// Whether this process is to watch.
-  std::function<bool()> watches_;
+  /// @returns whether this process watches the store; it does if this is empty
+  std::function<bool()> shouldWatch_;
 
   void Start();
   /// Reads all records now.
   void ReadAll();
-  /// A peer saw a group change.
+  /// Handles a peer's report that a group changed: reads it if it is not known
+  /// up to that revision.
   void OnHint(const std::string& aGroup, std::uint64_t aRevision);
 
 private:
@@ -62,7 +63,7 @@
   SystemClock clock_;
   mutable std::mutex mutex_;
   LiveRecordMap records_;
-  /// Revision up to which each prefix is known.
+  /// Revision up to which the records of each prefix are known.
   std::map<std::string, std::uint64_t> knownRevisions_;
   std::uint64_t revision_ = 0;
   Backoff backoff_;
--- a/src/daemon/load_settings.hpp
+++ b/src/daemon/load_settings.hpp
@@ -1,4 +1,4 @@
-/// How every daemon comes to its settings: command line, file, findings.
+/// Loading of a daemon's settings from its command line and settings file.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -11,8 +11,8 @@
 
 /// Parses the command line, reads the settings and reports all findings to
 /// standard error.
-/// @param aRead makes settings of a file's name and document, or findings
-/// @returns nothing if the program is done; then `aExitCode` is set
+/// @param aRead converts a file's name and document to settings, or to findings
+/// @returns nothing if the program is to exit with `aExitCode`
 template<typename Settings>
 std::optional<Settings>
 LoadDaemonSettings(int aArgc,
--- a/src/daemon/metered_store.cpp
+++ b/src/daemon/metered_store.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Keys are told apart by so many of their parts; what follows names one job
-/// or process of many.
+/// Number of leading key parts in the metric label. The parts after them
+/// identify single jobs or processes and would create a series for each.
 constexpr int kLabelParts = 2;
 
-/// @returns the first parts of a key, without what names one of many
+/// @returns the leading parts of a key, without identifiers of single objects
 std::string
 KeyPrefixOf(std::string_view aKey)
 {
--- a/src/daemon/metered_store.hpp
+++ b/src/daemon/metered_store.hpp
@@ -1,5 +1,5 @@
-/// Counts the calls to the store by what they are for: each is priced, and
-/// which process calls for what decides where to save.
+/// Counts the calls to the store by purpose. Each call is billed, so the counts
+/// show which process and purpose cause the cost.
 #pragma once
 
 #include "marjoramtally/runtime/metrics.hpp"
@@ -9,8 +9,8 @@
 
 namespace marjoramtally {
 
-/// @param aMetrics counts `store_calls_total` by kind and by the first parts of
-/// the key; outlives the store. A waiting watch counts with each answer.
+/// @param aMetrics counts `store_calls_total` by kind and by the leading parts
+/// of the key; outlives the store. A watch counts one call for each batch.
 [[nodiscard]] std::unique_ptr<Store>
 MakeMeteredStore(std::unique_ptr<Store> aStore, Metrics& aMetrics);
 
--- a/src/daemon/prefix_follower.cpp
+++ b/src/daemon/prefix_follower.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Pauses after a reading that failed.
+/// Delays after a failed read.
 constexpr auto kMinRetryDelay = std::chrono::milliseconds(100);
 constexpr auto kMaxRetryDelay = std::chrono::milliseconds(800);
 
@@ -29,10 +29,11 @@
   {
   }
 
-  /// The first reading may be old, as the watch goes on from its revision. A
-  /// later one comes after a watch that lost its place: an old one would lose
-  /// it again, as long as the store's replicas lag. A process read so for 6 s
-  /// after history was forgotten and kept an old configuration in force.
+  /// The first read may return an older revision, as the watch continues from
+  /// it. Later reads follow a watch that ended because the store no longer has
+  /// the changes after its revision. While the store's replicas lag, an older
+  /// read would end the next watch as well: a process that read so kept an
+  /// outdated configuration in force for 6 s.
   void Read()
   {
     const auto onRead = [self =
@@ -79,11 +80,10 @@
       Watch(from);
       return;
     }
-    // The first watch waits for its time.
     firstWatchFrom_ = from;
   }
 
-  /// The first watch may open from now on.
+  /// Allows the first watch, and opens it if a read has completed.
   void AllowWatch()
   {
     watchAllowed_ = true;
@@ -122,7 +122,8 @@
     }
   }
 
-  /// A callback may stop or destroy the follower: then nothing more is told.
+  /// Runs a callback of the owner. A callback may stop or destroy the follower;
+  /// then no more callbacks run.
   template<typename Callback, typename... Args>
   void Notify(Callback PrefixFollower::*aCallback, const Args&... aArgs)
   {
@@ -141,10 +142,10 @@
   std::string prefix_;
   Backoff retryDelays_{ kMinRetryDelay, kMaxRetryDelay, 1 };
   StoreWatchId watch_ = 0;
-  /// A reading came.
+  /// A read has succeeded.
   bool hasRead_ = false;
   bool watchAllowed_ = true;
-  /// Where the first watch begins, while it waits for its time.
+  /// Revision at which the delayed first watch starts.
   std::optional<std::uint64_t> firstWatchFrom_;
   bool stopped_ = false;
 };
--- a/src/daemon/prefix_follower.hpp
+++ b/src/daemon/prefix_follower.hpp
@@ -1,5 +1,5 @@
-/// Follows the records under a prefix of the store: reads them all, then
-/// watches; reads again when the watch lost its place.
+/// Follows the records under a prefix of the store: reads them all, watches for
+/// changes, and reads them all again if the watch ends.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// Told of the records of one prefix. Used on one loop.
+/// Reports the records of one prefix through callbacks. Used on one loop.
 class PrefixFollower
 {
 public:
@@ -18,22 +18,24 @@
   PrefixFollower(const PrefixFollower&) = delete;
   PrefixFollower& operator=(const PrefixFollower&) = delete;
 
-  /// Set before `Start`. Told of a whole reading: what is not in it is gone.
+  /// Set before `Start`. Called with a complete read: records that it does not
+  /// contain no longer exist.
   std::function<void(const StoreRange&)> onSnapshot_;
-  /// Told of one change.
+  /// Called for each change.
   std::function<void(const StoreEvent&)> onChange_;
-  /// Told once after all changes of one answer, and after a whole reading.
+  /// Called once after all changes of one batch, and after a complete read.
   std::function<void()> onBatchEnd_;
-  /// Told how old the knowledge is that a source of the watch vouched for just
-  /// now, after the changes it brought.
+  /// Called when a source of the watch confirms that the records are complete,
+  /// after the changes it sent, with the age of that confirmation.
   std::function<void(Duration)> onConfirmed_;
-  /// Told that no source vouches for what is known, until one does again.
+  /// Called when no source confirms the records any more, until the next
+  /// `onConfirmed_`.
   std::function<void()> onInterrupted_;
-  /// Told why a reading failed.
+  /// Called when a read failed; it is retried.
   std::function<void(const Error&)> onFailure_;
 
-  /// @param aFirstWatchDelay the first watch opens no sooner than this after
-  /// the start; what changes until then is told by it
+  /// @param aFirstWatchDelay minimum time from the start until the first watch
+  /// opens; that watch also reports the changes made until then
   void Start(Duration aFirstWatchDelay = Duration{ 0 });
   void Stop();
 
--- a/src/daemon/relay_answers.cpp
+++ b/src/daemon/relay_answers.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// The age that an answer tells may be this much too small, so that one serves
-/// all peers that are told at the same time.
+/// An encoded answer is reused for this long, so that peers that are answered
+/// at the same time share it. The age in it may be too small by this much.
 constexpr auto kAnswerReuseTime = std::chrono::milliseconds(20);
-/// A relay that does not yet know a revision gets this long.
+/// Minimum wait before an answer without changes: time for a relay to receive a
+/// revision that the peer already knows.
 constexpr auto kMinWait = std::chrono::milliseconds(50);
 
 } // namespace
--- a/src/daemon/relay_answers.hpp
+++ b/src/daemon/relay_answers.hpp
@@ -1,4 +1,4 @@
-/// What a relay answers to the peers that ask it for changes.
+/// A relay's answers to peers that request changes.
 #pragma once
 
 #include "marjoramtally/runtime/loop_timers.hpp"
@@ -11,28 +11,31 @@
 
 namespace marjoramtally {
 
-/// @returns what this process holds of a prefix; nullptr if it does not watch
-/// it at the store
+/// @returns this process's history of a prefix; nullptr if it does not watch
+/// the prefix at the store
 using HistoryOf =
   std::function<const WatchHistory*(const std::string& aPrefix)>;
 
-/// Peers that wait. Used on one loop.
+/// Answers the requests of peers, which wait until there is a change. Used on
+/// one loop.
 class RelayAnswers
 {
 public:
   /// All arguments outlive this.
   RelayAnswers(LoopTimers& aTimers, const Clock& aClock, HistoryOf aHistory);
 
-  /// Answers a peer with an encoded batch, at once or when there is a change.
+  /// Answers a peer with an encoded batch: immediately if there are changes,
+  /// else at the next change or when the requested wait ends.
   void Serve(const WatchAsk& aAsk, StoreDone<std::string> aDone);
-  /// Answers those that wait for changes under a prefix, if there are any now
-  /// or nothing can be vouched for any more.
+  /// Answers the pending requests for a prefix that have changes now, or for
+  /// which the history is no longer confirmed.
   void NotifyChange(const std::string& aPrefix);
-  /// Tells those that wait under a prefix that they must read anew.
+  /// Fails the pending requests for a prefix with `Conflict`: the peers must
+  /// read all records again.
   void FailAll(const std::string& aPrefix);
 
 private:
-  /// A peer that waits for a change.
+  /// A request that waits for a change.
   struct PendingRequest
   {
     std::uint64_t after_ = 0;
@@ -41,7 +44,8 @@
     LoopTimerId timer_ = 0;
   };
 
-  /// An encoded answer. Peers that wait know the same and are told the same.
+  /// The last encoded answer. Waiting peers mostly know the same revision and
+  /// get the same answer.
   struct Answer
   {
     std::string prefix_;
@@ -52,11 +56,12 @@
     std::string bytes_;
   };
 
-  /// @returns why a peer that knows all up to a revision gets no changes here;
-  /// nothing if it does
+  /// @returns why a peer that knows all changes up to a revision cannot be
+  /// answered from a history; nothing if it can
   [[nodiscard]] std::optional<Error> RefusalOf(const WatchHistory* aHistory,
                                                std::uint64_t aAfter) const;
-  /// @returns the changes that are held, with the age of what is known here
+  /// @returns an encoded batch of the changes after a revision, with the age of
+  /// the history's last confirmation
   [[nodiscard]] const std::string& AnswerFor(const std::string& aPrefix,
                                              const WatchHistory& aHistory,
                                              std::uint64_t aAfter,
--- a/src/daemon/relayed_store.cpp
+++ b/src/daemon/relayed_store.cpp
@@ -9,38 +9,38 @@
 
 namespace {
 
-/// How long a relay may hold an answer back: a silent relay is found within
-/// this and the slack of the call.
+/// How long a relay may delay an answer without changes. An unresponsive relay
+/// is detected after this and the slack of the call, 1.3 s together.
 constexpr auto kRelayWait = std::chrono::milliseconds(1000);
-/// A relay that has told nothing for this long is doubted, and a second one is
-/// asked beside it: a relay that is cut off from the store vouches for what it
-/// holds for another 1.7 s, and one that is silent is given up after 1.3 s.
-/// Above the time for which the store's adapter collects changes, so that a
-/// relay of a busy prefix is seldom doubted.
+/// If a relay has not answered after this time, a backup relay is queried as
+/// well: a relay that loses its connection to the store still confirms its
+/// history for 1.7 s, and an unresponsive one times out only after 1.3 s.
+/// Longer than the time for which the store's adapter collects changes, so that
+/// the backup is seldom queried for a busy prefix.
 constexpr auto kBackupDelay = std::chrono::milliseconds(500);
-/// A relay whose last answer held more bytes is not doubted: a second copy of
-/// what it tells all the time would load relays and links twice, and relays
-/// that are late for that would be doubted all the more.
+/// No backup relay is queried if the last answer was larger: second copies of
+/// large answers double the load of relays and links, which delays answers and
+/// so causes even more backup queries.
 constexpr std::size_t kLargeAnswerBytes = 4096;
-/// A process that watches the store itself since its relay failed tries
-/// another after this time.
+/// How long a process watches the store directly after its relay failed, before
+/// it tries another relay.
 constexpr auto kDirectWatchTime = std::chrono::seconds(3);
-/// A process that no relay has vouched to for this long turns to the store: a
-/// relay that is asked next may be silent for 1.3 s, and a change is to be in
-/// force after 2 s. Relays that refuse one after the other, each after holding
-/// the question for a second, would else add up to more than 3 s.
+/// A process watches the store directly if no relay has confirmed its state for
+/// this long: the next relay may take 1.3 s to time out, and a change must be
+/// in force after 2 s. Without this bound, relays that each hold the request
+/// for a second before they refuse it would add up to more than 3 s.
 constexpr auto kMaxUnconfirmedTime = std::chrono::milliseconds(600);
-/// Relays that all refused are asked again after this time.
+/// If all relays refuse, they are queried again after this time.
 constexpr auto kRelayRetryDelay = std::chrono::milliseconds(250);
-/// Pauses between tries of a process to reach the store that neither it nor its
-/// relays reach. All 250 processes of a fleet that each tried for itself every
-/// 0.1 to 0.8 s made 6,400 of a day's 17,000 calls in the 4 s around an outage
+/// Delays between attempts to reach the store directly while neither this
+/// process nor its relays reach it. With delays of 0.1 to 0.8 s, a fleet of 250
+/// processes made 6,400 of a day's 17,000 calls in the 4 s around an outage
 /// of 2.5 s.
 constexpr auto kMinProbeDelay = std::chrono::milliseconds(700);
 constexpr auto kMaxProbeDelay = std::chrono::seconds(3);
-/// A watch that nobody vouched for so long is told when it goes on: a change
-/// may have been in force late. Above the longest pause of a watch that is
-/// well.
+/// A watch that was not confirmed for longer than this is logged when it
+/// resumes, as a change may have taken effect late. Longer than any gap of a
+/// healthy watch.
 constexpr auto kLoggedGap = std::chrono::milliseconds(1700);
 
 std::size_t
@@ -156,7 +156,7 @@
   return it == watches_.end() ? nullptr : &it->second;
 }
 
-/// Opens a watch anew, through a relay if the plan names some.
+/// Opens or reopens a watch, through a relay if the plan assigns any.
 void
 RelayedStore::Open(StoreWatchId aId)
 {
@@ -214,7 +214,8 @@
     answers_.NotifyChange(own->prefix_);
     own->history_.Start(own->after_, {});
     if (!relays_(own->prefix_).empty()) {
-      // Relays say sooner than many tries of each process when it is back.
+      // Relays report the return of the store sooner, and with fewer calls,
+      // than attempts of each process.
       store_.StopWatch(own->direct_);
       own->direct_ = 0;
       own->directUntil_ = {};
@@ -303,8 +304,9 @@
     });
 }
 
-/// What the second relay knows counts whenever it comes; that it knows nothing
-/// says nothing of the first, which stays the one that is asked.
+/// Changes from the backup relay are delivered whenever they arrive. An error
+/// or an answer without changes is ignored: it gives no information about the
+/// first relay, which stays in use.
 void
 RelayedStore::OnBackupAnswer(StoreWatchId aId,
                              const Result<StoreWatchBatch>& aBatch)
@@ -328,23 +330,24 @@
   OwnWatch& own = watches_.at(aId);
   if (!aBatch) {
     if (nextProbeAt_ == TimePoint{}) {
-      // While nobody reaches the store, relays refuse four times a second.
+      // Not logged while the store is unreachable, when relays refuse four
+      // times a second.
       LogEvent(LogLevel::Info,
                "relay_failed",
                { { "prefix", own.prefix_ },
                  { "after", std::to_string(own.after_) },
                  { "error", aBatch.error().message_ } });
     }
-    // A relay that answers no costs no time, so the next is asked. One that is
-    // silent has taken 1.3 s; a second might be silent too, and that would be
-    // too long for a change to be in force in time.
+    // A refusal is fast, so the next relay is queried. A time-out has taken
+    // 1.3 s; if the next relay timed out too, a change would take effect too
+    // late.
     ++own.nextRelay_;
-    const bool silent = aBatch.error().kind_ == ErrorKind::Timeout;
+    const bool timedOut = aBatch.error().kind_ == ErrorKind::Timeout;
     own.historyLost_ =
       own.historyLost_ || aBatch.error().kind_ == ErrorKind::Conflict;
     const bool late =
       clock_.Now() - own.unconfirmedSince_ > Duration{ kMaxUnconfirmedTime };
-    if (silent || late || ++own.refusals_ >= relays_(own.prefix_).size()) {
+    if (timedOut || late || ++own.refusals_ >= relays_(own.prefix_).size()) {
       OnUnconfirmed(aId);
     } else {
       Open(aId);
@@ -365,7 +368,7 @@
 void
 RelayedStore::NotifyInterrupted(StoreWatchId aId)
 {
-  // The callback may stop the watch.
+  // Copied, as the callback may stop the watch.
   const auto onBatch = watches_.at(aId).onBatch_;
   StoreWatchBatch interruption;
   interruption.interrupted_ = true;
@@ -382,12 +385,12 @@
   OwnWatch& own = watches_.at(aId);
   own.refusals_ = 0;
   if (std::exchange(own.historyLost_, false)) {
-    // A relay goes on from a later revision: one reading here costs less than
-    // a watch of this process's own.
+    // Relays can continue from a later revision, and one read by this process
+    // costs less than a direct watch.
     Deliver(aId, StoreWatchBatch{ true, false, 0, {} });
   } else if (clock_.Now() >= nextProbeAt_) {
     if (nextProbeAt_ != TimePoint{}) {
-      // The other watches wait for what comes of this one.
+      // The other watches wait for the outcome of this one.
       probingWatch_ = aId;
       nextProbeAt_ = clock_.Now() + Duration{ kMinProbeDelay };
     }
--- a/src/daemon/relayed_store.hpp
+++ b/src/daemon/relayed_store.hpp
@@ -1,6 +1,6 @@
-/// The store with watches that go through other processes where the plan says
-/// so, and that serves its own watches to others. Reads and writes go to the
-/// store itself.
+/// A store whose watches go through relays, which are other processes, where
+/// the relay plan assigns any. Serves the watches of this process to its peers.
+/// Reads and writes go to the store directly.
 #pragma once
 
 #include "daemon/relay_answers.hpp"
@@ -13,12 +13,13 @@
 
 namespace marjoramtally {
 
-/// Asks a peer for changes; the answer comes on the loop.
+/// Requests changes from a peer; `aDone` runs on the loop.
 using QueryPeer = std::function<void(const std::string& aAddress,
                                      const WatchAsk& aAsk,
                                      StoreDone<StoreWatchBatch> aDone)>;
 
-/// @returns addresses of a prefix's relays to ask now, in order
+/// @returns the addresses of a prefix's relays, in order of preference; empty
+/// if this process watches the prefix at the store
 using RelaysOf =
   std::function<const std::vector<std::string>&(const std::string& aPrefix)>;
 
@@ -49,62 +50,64 @@
     std::function<void(const StoreWatchBatch&)> aOnBatch) override;
   void StopWatch(StoreWatchId aWatch) override;
 
-  /// Answers a peer with an encoded batch, at once or when there is a change.
+  /// Answers a peer with an encoded batch: immediately if there are changes,
+  /// else at the next change or when the requested wait ends.
   void Serve(const WatchAsk& aAsk, StoreDone<std::string> aDone)
   {
     answers_.Serve(aAsk, std::move(aDone));
   }
 
 private:
-  /// One watch of this process.
+  /// One watch of this process, through relays or directly at the store.
   struct OwnWatch
   {
     std::string prefix_;
     std::uint64_t after_ = 0;
     std::function<void(const StoreWatchBatch&)> onBatch_;
-    /// The store's watch, while this process watches itself.
+    /// The watch at the store, while this process watches directly; else 0.
     StoreWatchId direct_ = 0;
-    /// When to look for a relay again.
+    /// When to use relays again.
     TimePoint directUntil_;
-    /// What came over the store's watch, for peers.
+    /// Changes received from the direct watch, for peers.
     WatchHistory history_;
     std::size_t nextRelay_ = 0;
-    /// Relays in a row that answered no.
+    /// Number of consecutive relays that refused.
     std::size_t refusals_ = 0;
-    /// Since when no relay has vouched for what is known here.
+    /// Since when no relay has confirmed this watch.
     TimePoint unconfirmedSince_;
     std::uint64_t round_ = 0;
-    /// When a second relay is asked beside the first.
+    /// Queries the backup relay.
     LoopTimerId backupTimer_ = 0;
-    /// The last relay told much.
+    /// The last answer of a relay exceeded `kLargeAnswerBytes`.
     bool largeAnswers_ = false;
-    /// In this round of relays one held too little history.
+    /// A relay has refused since the last confirmation because its history does
+    /// not cover `after_`.
     bool historyLost_ = false;
-    /// When the store or a relay last vouched for what is known here.
+    /// When the store or a relay last confirmed this watch.
     TimePoint confirmedAt_;
   };
 
   void Open(StoreWatchId aId);
   void ReopenAfterDelay(StoreWatchId aId);
-  /// No relay vouches for what is known here.
+  /// Handles that no relay confirms a watch: ends it if a relay has lost the
+  /// history, else watches directly or retries later.
   void OnUnconfirmed(StoreWatchId aId);
-  /// Tells the watcher that nobody vouches for what it knows.
+  /// Notifies the watcher that no source confirms its state.
   void NotifyInterrupted(StoreWatchId aId);
   void OpenDirect(StoreWatchId aId);
   void OnDirect(StoreWatchId aId, const StoreWatchBatch& aBatch);
   void QueryRelay(StoreWatchId aId, const std::string& aAddress);
-  /// Asks a second relay for what the first has not told yet.
+  /// Queries a second relay if the first has not answered yet.
   void QueryBackup(StoreWatchId aId, std::uint64_t aRound);
   void OnBackupAnswer(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch);
   void OnRelay(StoreWatchId aId, const Result<StoreWatchBatch>& aBatch);
-  /// Tells of changes that are not known here yet: two sources tell of the
-  /// same ones.
+  /// Delivers the changes of a batch that are not known here yet. Two sources
+  /// may send the same ones.
   void Deliver(StoreWatchId aId, const StoreWatchBatch& aBatch);
-  /// Notes that a source vouched for what is known here, and tells for how
-  /// long none had.
+  /// Records that a source confirmed a watch, and logs a long gap before it.
   void OnConfirmed(OwnWatch& aOwn, std::string_view aSource);
   [[nodiscard]] OwnWatch* Find(StoreWatchId aId);
-  /// @returns what the store's own watch of a prefix told; nullptr if there is
+  /// @returns the history of the direct watch of a prefix; nullptr if there is
   /// none
   [[nodiscard]] const WatchHistory* HistoryOfServed(
     const std::string& aPrefix) const;
@@ -114,11 +117,12 @@
   const Clock& clock_;
   QueryPeer queryPeer_;
   RelaysOf relays_;
-  /// The store did not answer here; it is not asked for watches before this
-  /// time, as long as relays may say when it is back.
+  /// While the store does not answer this process, no direct watch is opened
+  /// before this time; relays may report its return sooner. Zero: the store
+  /// answers.
   TimePoint nextProbeAt_;
   Backoff probeDelays_;
-  /// The watch that tries the store for all of this process.
+  /// The watch that probes the store on behalf of all watches.
   StoreWatchId probingWatch_ = 0;
   StoreWatchId last_ = 0;
   std::map<StoreWatchId, OwnWatch> watches_;
--- a/src/daemon/upstream_reader.hpp
+++ b/src/daemon/upstream_reader.hpp
@@ -7,8 +7,8 @@
 
 namespace marjoramtally {
 
-/// Decodes entries. One that another writer made names no upstream; it is
-/// logged with its place once, not each time that it is read.
+/// Decodes entries. An entry that cannot be decoded yields no upstream and is
+/// logged with its key once, not at each read.
 class UpstreamReader
 {
 public:
@@ -18,14 +18,14 @@
   {
   }
 
-  /// @returns the upstream, or nothing if the record names none
+  /// @returns the upstream, or nothing if the record cannot be decoded
   [[nodiscard]] std::optional<UpstreamEntry> Read(const StoreRecord& aRecord);
-  /// @returns the upstreams that a whole reading names
+  /// @returns the upstreams of a complete read
   [[nodiscard]] std::vector<UpstreamEntry> ReadAll(const StoreRange& aRange);
 
 private:
   const Platform& formats_;
-  /// What was wrong with the entries that cannot be read, by key.
+  /// Errors of the entries that cannot be decoded, by key.
   std::map<std::string, std::string> errors_;
 };
 
