--- a/tests/fake_store.hpp
+++ b/tests/fake_store.hpp
@@ -1,4 +1,4 @@
-/// A store in memory on paused timers, with faults that a test sets.
+/// An in-memory store on manual timers, with injected faults.
 #pragma once
 
 #include "marjoramtally/runtime/loop_timers.hpp"
@@ -12,15 +12,15 @@
 enum class StoreFault
 {
   None,
-  /// Nothing is done, and the caller is told so.
+  /// Commits are not executed, and all calls fail.
   Refuses,
-  /// Done, but the answer is lost.
+  /// Commits are executed, but all calls time out.
   LosesAnswers,
-  /// Nothing is done, and no answer comes.
+  /// Commits are not executed, and all calls time out.
   Unresponsive,
 };
 
-/// Records, leases and watches. Answers come with the next timer.
+/// Records, leases and watches. Each call is answered after `delay_`.
 class FakeStore final : public Store
 {
 public:
@@ -30,25 +30,26 @@
   }
 
   StoreFault fault_ = StoreFault::None;
-  /// Watches hear nothing while this holds.
+  /// Watches receive no events while this is set.
   bool dropsEvents_ = false;
   std::size_t commits_ = 0;
-  /// Readings that might have been old.
+  /// Number of calls of `ReadEarlier`.
   std::size_t earlierReads_ = 0;
-  /// The state of which such readings tell, which is empty; 0: the newest.
+  /// Revision that `ReadEarlier` returns, with no records; 0: the latest
+  /// revision with its records.
   std::uint64_t earlierRevision_ = 0;
   std::size_t openedWatches_ = 0;
-  /// Where the last watch of each prefix began.
+  /// Revision at which the last watch of each prefix started.
   std::map<std::string, std::uint64_t> watchedFrom_;
-  /// So many of the next commits are refused.
+  /// Number of next commits that are refused.
   std::size_t refusals_ = 0;
-  /// The commit of this number, from 1 on, is refused; 0: none.
+  /// Number of the commit that is refused, counted from 1; 0: none.
   std::size_t refuseCommit_ = 0;
-  /// Readings of all kinds.
+  /// Number of calls of `Read`, including those made by `ReadEarlier`.
   std::size_t reads_ = 0;
-  /// Reads of this prefix are refused.
+  /// Reads of exactly this prefix are refused.
   std::string unreadable_;
-  /// How long each answer takes.
+  /// Time until each call is answered.
   Duration delay_ = std::chrono::milliseconds(4);
   std::map<std::string, StoreRecord> records_;
 
@@ -158,7 +159,7 @@
 
   void StopWatch(StoreWatchId aWatch) override { watches_.erase(aWatch); }
 
-  /// Writes one record as the operator does.
+  /// Writes one record from outside, as an operator does.
   void Put(const std::string& aKey, const std::string& aValue)
   {
     ++revision_;
@@ -175,7 +176,7 @@
     SendEvents(events);
   }
 
-  /// A lease ends, and its keys with it.
+  /// Expires a lease and removes its keys.
   void ExpireLease(StoreLeaseId aLease)
   {
     leases_.erase(aLease);
@@ -198,7 +199,7 @@
     }
   }
 
-  /// Tells all watches under a prefix something that is no change.
+  /// Sends a batch to all watches of exactly this prefix.
   void SendBatch(const std::string& aPrefix, const StoreWatchBatch& aBatch)
   {
     const auto watches = watches_;
@@ -219,7 +220,7 @@
   }
 
   [[nodiscard]] std::uint64_t Revision() const noexcept { return revision_; }
-  /// @returns the time for which a lease was granted
+  /// @returns the time to live with which a lease was granted
   [[nodiscard]] Duration TtlOf(StoreLeaseId aLease) const
   {
     return leases_.at(aLease);
--- a/tests/store_link.cpp
+++ b/tests/store_link.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A call that nobody answers is given up.
+/// Unanswered calls fail after this time.
 constexpr auto kCallTimeout = 1200ms;
-/// So is a watch, which is told.
+/// Watches that receive nothing are interrupted after this time.
 constexpr auto kWatchTimeout = 1300ms;
 
 } // namespace
@@ -101,13 +101,13 @@
   const StoreWatchId id = ++last_;
   OwnWatch& own = watches_[id];
   own.onBatch_ = std::move(aOnBatch);
-  // The fake tells only of what comes; what came since the reading is told
-  // first.
-  StoreWatchBatch missed;
-  missed.revision_ = store_.Revision();
+  // The fake store sends only new events, so the changes since
+  // `aFromRevision` are sent first.
+  StoreWatchBatch backlog;
+  backlog.revision_ = store_.Revision();
   for (const auto& [key, record] : store_.records_) {
     if (key.starts_with(aPrefix) && record.modRevision_ >= aFromRevision) {
-      missed.events_.push_back({ false, record });
+      backlog.events_.push_back({ false, record });
     }
   }
   own.inner_ = store_.Watch(std::move(aPrefix),
@@ -117,8 +117,8 @@
                               timers_.After(lag_ + Duration{ 1000 },
                                             [this, id] { Deliver(id); });
                             });
-  if (!missed.events_.empty()) {
-    own.queued_.push_back(std::move(missed));
+  if (!backlog.events_.empty()) {
+    own.queued_.push_back(std::move(backlog));
     timers_.After(lag_ + Duration{ 1000 }, [this, id] { Deliver(id); });
   }
   return id;
--- a/tests/store_link.hpp
+++ b/tests/store_link.hpp
@@ -1,4 +1,4 @@
-/// The store as each of several processes reaches it, with faults on the way.
+/// The connection of one process to a shared fake store, with network faults.
 #pragma once
 
 #include "fake_store.hpp"
@@ -7,7 +7,7 @@
 
 namespace marjoramtally::test {
 
-/// The store as one process reaches it.
+/// The store over one process's connection.
 class StoreLink final : public Store
 {
 public:
@@ -28,15 +28,15 @@
     std::function<void(const StoreWatchBatch&)> aOnBatch) override;
   void StopWatch(StoreWatchId aWatch) override;
 
-  /// While cut off, calls do nothing and get no answer, those under way get
-  /// none, and watches are told once the cut is over.
+  /// While the link is cut, calls are not executed and time out, as do calls in
+  /// progress. Watches receive their events once the link is restored.
   void SetCut(bool aCut);
-  /// Watches are told this much late, as through a relay that is gone.
+  /// Delays the events of watches, as an unresponsive relay does.
   void SetLag(Duration aLag) { lag_ = aLag; }
-  /// All watches lose their place.
+  /// Ends all watches, as a store does whose history is compacted.
   void LoseHistory();
 
-  /// Told of each lease that was granted or renewed, with its end.
+  /// Called for each lease that was granted or renewed, with its expiry time.
   std::function<void(StoreLeaseId, TimePoint)> onLease_;
   std::function<TimePoint()> now_;
 
@@ -51,13 +51,13 @@
   template<typename T>
   StoreDone<T> UnlessCut(StoreDone<T> aDone);
   void Deliver(StoreWatchId aId);
-  /// Tells watches that nothing was heard, if the cut of that number lasts.
+  /// Interrupts all watches if the cut with this number still lasts.
   void Interrupt(std::uint64_t aCuts);
 
   FakeStore& store_;
   LoopTimers& timers_;
   bool cut_ = false;
-  /// Counts cuts and their ends.
+  /// Number of calls of `SetCut`.
   std::uint64_t cuts_ = 0;
   Duration lag_{ 0 };
   StoreWatchId last_ = 0;
--- a/tests/test_leased_key.cpp
+++ b/tests/test_leased_key.cpp
@@ -1,4 +1,4 @@
-/// Keys that hang on a lease: exclusive ones, renewals, losses.
+/// Keys attached to a lease: exclusive keys, renewals and lost leases.
 
 #include "daemon/leased_key.hpp"
 #include "fake_store.hpp"
@@ -32,7 +32,7 @@
   REQUIRE(second.Fence() > fence);
 }
 
-TEST_CASE("a key of an earlier run of this process is taken over at once")
+TEST_CASE("a key of an earlier run of the same process is taken over at once")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -63,7 +63,7 @@
   REQUIRE(store.records_.at("duty").value_ == "one~2");
 }
 
-TEST_CASE("a holder that cannot renew stops before its lease ends")
+TEST_CASE("a holder that cannot renew stops before its lease expires")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -81,7 +81,7 @@
   REQUIRE(lost == 1);
 }
 
-TEST_CASE("a holder that was suspended knows that it may not act")
+TEST_CASE("a holder that was suspended no longer holds its key")
 {
   ManualClock clock;
   ManualClock boot;
@@ -91,12 +91,12 @@
   key.Start();
   timers.Advance(10ms);
   REQUIRE(key.Held());
-  // Only the clock that counts suspension moves on.
+  // Only the clock that advances during suspension moves.
   boot.Advance(4s);
   REQUIRE_FALSE(key.Held());
 }
 
-TEST_CASE("a write whose answer was lost is settled by reading back")
+TEST_CASE("a write whose answer was lost is resolved by reading the key")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -112,7 +112,7 @@
   REQUIRE(store.commits_ == 1);
 }
 
-TEST_CASE("a sign of life that lapsed while the store was away comes back")
+TEST_CASE("a liveness record whose lease expired at the store is written again")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -127,7 +127,7 @@
   REQUIRE(key.Held());
 }
 
-TEST_CASE("a key outlives the lease that it hung on before")
+TEST_CASE("a key outlives its previous lease")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -146,7 +146,7 @@
   REQUIRE_FALSE(store.records_.contains("life"));
 }
 
-TEST_CASE("a holder that was refused contends anew, under a higher number")
+TEST_CASE("a holder that starts over gets a higher fencing number")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -162,9 +162,9 @@
   REQUIRE(key.Fence() > before);
 }
 
-// The duty of orders changed hands and no log told why: a lease that ran out
-// since its process was busy looks like one that the store ended.
-TEST_CASE("a lease that is lost is told with the reason")
+// A lease that was not renewed in time because its process was busy must be
+// distinguishable in the log from one that no longer exists at the store.
+TEST_CASE("a lost lease is logged with its reason")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -173,7 +173,7 @@
   key.Start();
   timers.Advance(10ms);
   const LogCapture log;
-  SECTION("the store ended it")
+  SECTION("the lease no longer exists at the store")
   {
     store.ExpireAllLeases();
     timers.Advance(600ms);
@@ -191,18 +191,18 @@
   }
 }
 
-// Found beside the wandering duty: a holder that an upstream refused gave its
-// key up while a renewal was under way. The renewal's answer made it read the
-// key back and, as it was gone, write it without a lease. Had it died then,
-// nobody else would ever have got the duty.
-TEST_CASE("an answer to a lease that was given up is ignored")
+// A holder releases its key while a renewal is in progress. If the renewal's
+// answer is not ignored, the holder reads the key, finds it absent and writes
+// it without a lease. No other process could take over the duty if it then
+// died.
+TEST_CASE("an answer about an abandoned lease is ignored")
 {
   ManualClock clock;
   ManualTimers timers(clock);
   FakeStore store(timers);
   LeasedKey key(store, timers, clock, { "duty", "one", 1500ms, true });
   key.Start();
-  // The first renewal has just been sent.
+  // The first renewal is in progress.
   timers.Advance(509ms);
   REQUIRE(key.Held());
   key.StartOver();
@@ -213,10 +213,10 @@
   REQUIRE(store.records_.at("duty").lease_ != 0);
 }
 
-// A gateway that accepted its first job while it still wrote its sign of life
-// kept the long lease of an idle one; its jobs waited 12 s for another owner
-// when it died.
-TEST_CASE("a length that changes while the key is written holds from then on")
+// A gateway that accepts its first job while its liveness record is being
+// written must not keep the long lease of an idle gateway: if it died, its jobs
+// would wait 12 s for another owner.
+TEST_CASE("a time to live that is set while the key is written takes effect")
 {
   ManualClock clock;
   ManualTimers timers(clock);
--- a/tests/test_metered_store.cpp
+++ b/tests/test_metered_store.cpp
@@ -1,4 +1,4 @@
-/// Calls to the store, counted by what they are for.
+/// Calls to the store, counted by purpose.
 
 #include "daemon/metered_store.hpp"
 #include "fake_store.hpp"
@@ -9,7 +9,7 @@
 using namespace marjoramtally::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("calls to the store are counted by kind and place, not by job")
+TEST_CASE("calls to the store are counted by kind and key prefix, not by job")
 {
   ManualClock clock;
   ManualTimers timers(clock);
--- a/tests/test_prefix_follower.cpp
+++ b/tests/test_prefix_follower.cpp
@@ -1,4 +1,4 @@
-/// Followers of a prefix of the store: readings, watches, faults.
+/// Followers of a prefix of the store: reads, watches and store failures.
 
 #include "daemon/prefix_follower.hpp"
 #include "fake_store.hpp"
@@ -9,7 +9,7 @@
 using namespace marjoramtally::test;
 using namespace std::chrono_literals;
 
-TEST_CASE("a follower that is destroyed by its own callback tells no more")
+TEST_CASE("a follower destroyed by its own callback runs no more callbacks")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -32,7 +32,7 @@
   REQUIRE(store.CountWatches("k/") == 0);
 }
 
-TEST_CASE("a follower reads all again when its watch lost its place")
+TEST_CASE("a follower reads all records again when its watch ends")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -51,7 +51,7 @@
   REQUIRE(last == 1);
 }
 
-TEST_CASE("a follower's first watch opens in its time and misses nothing")
+TEST_CASE("a follower's first watch opens after its delay and misses no change")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -63,18 +63,17 @@
   timers.Advance(20ms);
   REQUIRE(store.CountWatches("k/") == 1);
   REQUIRE(store.watchedFrom_.at("k/") == store.Revision() + 1);
-  // Later watches open at once.
+  // Later watches open without delay.
   store.SendBatch("k/", { true, false, 0, {} });
   timers.Advance(10ms);
   REQUIRE(store.CountWatches("k/") >= 1);
 }
 
-// A gateway kept a configuration in force for 6 s that had been replaced. The
-// order: the store forgot its history, so that watches and relays lost their
-// place; the gateway read anew from a replica that was seconds behind, began to
-// watch from there, lost its place at once, and so on until the replica had
-// caught up. Cause: what followed a lost place was read as a first reading is.
-TEST_CASE("only a follower's first reading may be old")
+// When the store compacts its history, watches and relays end. If the follower
+// then reads from a replica that lags by seconds, a watch from that revision
+// ends immediately, and so on until the replica has caught up. A gateway kept a
+// replaced configuration in force for 6 s this way.
+TEST_CASE("only a follower's first read may return an older revision")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -109,7 +108,7 @@
   REQUIRE(store.CountWatches("k/") == 0);
 }
 
-TEST_CASE("a follower keeps reading while the store is away")
+TEST_CASE("a follower retries its read while the store is unavailable")
 {
   ManualClock clock;
   ManualTimers timers(clock);
--- a/tests/test_relays.cpp
+++ b/tests/test_relays.cpp
@@ -1,5 +1,4 @@
-/// Watches through other processes: the plan, the history, the store that
-/// does it.
+/// Watches through relays: the relay plan, the history and the relayed store.
 
 #include "daemon/relayed_store.hpp"
 #include "fake_store.hpp"
@@ -15,7 +14,7 @@
 
 namespace {
 
-/// @returns a callback for a relay's encoded answer
+/// @returns a callback that decodes a relay's answer
 StoreDone<std::string>
 Decoded(StoreDone<StoreWatchBatch> aDone)
 {
@@ -42,7 +41,7 @@
   return plan;
 }
 
-/// Two processes on one store; the second asks the first.
+/// Two processes on one store; the first is the relay of the second.
 struct TwoProcesses
 {
   ManualClock clock_;
@@ -92,7 +91,8 @@
       });
   }
 
-  /// What the adapter tells after each renewal of a watch.
+  /// Sends the empty batch that the adapter sends after each renewal of a
+  /// watch.
   void Renew()
   {
     store_.SendBatch("k/", { false, false, store_.Revision(), {} });
@@ -101,12 +101,12 @@
 
 } // namespace
 
-TEST_CASE("few processes watch the store themselves")
+TEST_CASE("the processes of a small fleet watch the store directly")
 {
   REQUIRE(MakePlan("p0~1", 4).Relays("k/").empty());
 }
 
-TEST_CASE("all agree on a few relays in different zones")
+TEST_CASE("all processes agree on a few relays in different zones")
 {
   std::map<std::string, int> asked;
   int relays = 0;
@@ -128,14 +128,15 @@
   REQUIRE(zonesOfRelays.size() == 3);
 }
 
-TEST_CASE("watches at the store grow with prefixes, not with processes")
+TEST_CASE("the number of watches at the store does not grow with the processes")
 {
-  // Three prefixes of 250 processes cost no more watches than 12; a relay is
-  // asked by no more processes than with 24 and all three prefixes.
+  // Three prefixes need at most 12 watches for any number of processes. The
+  // load of a relay is at most twice the requests of 24 processes for all
+  // prefixes.
   const std::vector<std::string> prefixes{ "a/", "b/", "c/" };
   for (const int processes : { 12, 60, 250 }) {
     std::size_t watches = 0;
-    std::map<std::string, std::size_t> questions;
+    std::map<std::string, std::size_t> requests;
     for (int i = 0; i < processes; ++i) {
       const RelayPlan plan =
         MakePlan("p" + std::to_string(i) + "~1", processes);
@@ -143,20 +144,20 @@
         const std::vector<std::string>& relays = plan.Relays(prefix);
         watches += relays.empty() ? 1 : 0;
         if (!relays.empty()) {
-          ++questions[relays.front()];
+          ++requests[relays.front()];
         }
       }
     }
     CAPTURE(processes);
     REQUIRE(watches <= 12);
-    for (const auto& [relay, count] : questions) {
+    for (const auto& [relay, count] : requests) {
       CAPTURE(relay);
       REQUIRE(count <= 2 * 72);
     }
   }
 }
 
-TEST_CASE("a relay that is gone is replaced")
+TEST_CASE("a relay that leaves is replaced")
 {
   RelayPlan plan = MakePlan("p0~1", 60);
   const std::vector<std::string> before = plan.Relays("k/");
@@ -166,7 +167,7 @@
   REQUIRE(std::find(after.begin(), after.end(), before.front()) == after.end());
 }
 
-TEST_CASE("signs of life come back as they were written")
+TEST_CASE("liveness records can be read as they were written")
 {
   const auto record =
     ReadLivenessRecord(WriteLivenessRecord({ ZoneId{ "z" }, "10.0.0.1:7" }));
@@ -175,7 +176,7 @@
   REQUIRE(ReadLivenessRecord("front-1").error().kind_ == ErrorKind::BadInput);
 }
 
-TEST_CASE("questions and changes come back as they were encoded")
+TEST_CASE("requests and batches are decoded as they were encoded")
 {
   const auto ask = DecodeWatchAsk(EncodeWatchAsk({ "k/", 7, 900ms }));
   REQUIRE(ask.value().prefix_ == "k/");
@@ -192,7 +193,7 @@
   REQUIRE_FALSE(DecodeWatchAsk("short"));
 }
 
-TEST_CASE("peers that know the same are told the same, others what they lack")
+TEST_CASE("each peer is sent the changes after the revision that it knows")
 {
   TwoProcesses two;
   two.Start();
@@ -224,7 +225,7 @@
   REQUIRE(answers[4].revision_ == known + 2);
 }
 
-TEST_CASE("a peer that does not inflate is told in plain, beside one that does")
+TEST_CASE("a peer that cannot inflate gets an uncompressed answer")
 {
   TwoProcesses two;
   two.Start();
@@ -244,7 +245,7 @@
   REQUIRE(sizes.at(true) < 2'000);
 }
 
-TEST_CASE("a history vouches for nothing that the store has not confirmed")
+TEST_CASE("a history confirms only what the store has confirmed")
 {
   const TimePoint start{ 10s };
   WatchHistory history;
@@ -274,7 +275,7 @@
   REQUIRE(history.Covers(10));
 }
 
-TEST_CASE("a history holds no more bytes than it may")
+TEST_CASE("a history is bounded in bytes")
 {
   WatchHistory history;
   history.Start(0, {});
@@ -283,7 +284,7 @@
     event.record_.value_ = std::string(aBytes, 'v');
     history.Append({ false, false, aRevision, { event } }, {});
   };
-  // Changes of the largest size that is kept, less the bytes of their keys.
+  // Value size of the largest change that is kept; its key has one byte.
   constexpr std::size_t kLargest = WatchHistory::kMostChangeBytes - 1;
   constexpr std::uint64_t kFit = WatchHistory::kMostBytes / (kLargest + 1);
   for (std::uint64_t i = 1; i <= kFit; ++i) {
@@ -298,7 +299,7 @@
   REQUIRE(history.Covers(kFit + 2));
 }
 
-TEST_CASE("changes reach a process through its relay, each once")
+TEST_CASE("changes reach a process through its relay exactly once")
 {
   TwoProcesses two;
   two.Start();
@@ -312,14 +313,14 @@
   REQUIRE(two.seen_ == std::vector<std::string>{ "k/a", "k/b" });
 }
 
-TEST_CASE("a process whose relay falls silent watches the store in time")
+TEST_CASE("a process whose relay is unresponsive watches the store in time")
 {
   TwoProcesses two;
   two.Start();
   two.timers_.Advance(100ms);
   two.cut_ = true;
   two.timers_.Advance(1000ms);
-  // The answer in progress ends; the next question gets none.
+  // The request in progress is answered; the next one times out.
   two.Renew();
   two.timers_.Advance(1400ms);
   REQUIRE(two.store_.CountWatches("k/") == 2);
@@ -327,7 +328,7 @@
   REQUIRE(two.seen_ == std::vector<std::string>{ "k/a" });
 }
 
-TEST_CASE("a relay that the store does not answer turns its peers away")
+TEST_CASE("a relay that loses its connection to the store refuses its peers")
 {
   TwoProcesses two;
   two.Start();
@@ -337,7 +338,7 @@
   REQUIRE(two.store_.CountWatches("k/") == 2);
 }
 
-TEST_CASE("a process returns to its relay once that is confirmed again")
+TEST_CASE("a process returns to its relay once the store answers that again")
 {
   TwoProcesses two;
   two.Start();
@@ -355,7 +356,7 @@
   REQUIRE(two.seen_ == std::vector<std::string>{ "k/a" });
 }
 
-TEST_CASE("one silent relay of several is enough to watch the store itself")
+TEST_CASE("one unresponsive relay of several makes a process watch the store")
 {
   TwoProcesses two;
   two.relays_ = { "first", "second", "third" };
@@ -364,13 +365,13 @@
   two.cut_ = true;
   two.Renew();
   two.timers_.Advance(2400ms);
-  // Within the hold of the answer in progress and one call that fails.
+  // Enough for the end of the request in progress and one call that times out.
   REQUIRE(two.store_.CountWatches("k/") == 2);
   two.store_.Put("k/a", "1");
   REQUIRE(two.seen_ == std::vector<std::string>{ "k/a" });
 }
 
-TEST_CASE("relays that hold a question and refuse it do not add up")
+TEST_CASE("the delays of relays that wait and then refuse do not add up")
 {
   ManualClock clock;
   ManualTimers timers(clock);
@@ -391,7 +392,7 @@
   REQUIRE(store.CountWatches("k/") == 1);
 }
 
-TEST_CASE("a relay that says no is passed over for the next at once")
+TEST_CASE("a process tries its next relay at once when one refuses")
 {
   TwoProcesses two;
   two.relays_ = { "first", "second", "third" };
@@ -405,7 +406,7 @@
 
 namespace {
 
-/// A process on a store that fails each watch soon, with relays that refuse.
+/// A process on a store that interrupts each watch, with relays that refuse.
 struct CutProcess
 {
   ManualClock clock_;
@@ -432,7 +433,7 @@
     [this](const auto&) -> const std::vector<std::string>& { return relays_; }
   };
 
-  /// Each watch is told after 20 ms that the store does not answer.
+  /// Runs for a time in which each watch is interrupted within 20 ms.
   void Run(Duration aTime)
   {
     for (Duration past{ 0 }; past < aTime; past += 20ms) {
@@ -446,19 +447,19 @@
 
 } // namespace
 
-TEST_CASE("a process that no relay and no store answers asks the store seldom")
+TEST_CASE("a process that reaches neither relays nor store probes it rarely")
 {
   CutProcess cut;
   for (const char* prefix : { "a/", "b/", "c/" }) {
     cut.process_.Watch(prefix, 2, [](const auto&) {});
   }
   cut.Run(10s);
-  // A first try for each prefix, then pauses of 0.7 to 3 s for the process.
+  // A first attempt for each prefix, then one in 0.7 to 3 s for all of them.
   REQUIRE(cut.store_.openedWatches_ >= 5);
   REQUIRE(cut.store_.openedWatches_ <= 14);
 }
 
-TEST_CASE("a process follows its relays once the store answers them again")
+TEST_CASE("a process uses its relays once the store answers them again")
 {
   CutProcess cut;
   cut.process_.Watch("a/", 2, [](const auto&) {});
@@ -470,7 +471,7 @@
   REQUIRE(cut.store_.CountWatches("a/") == 0);
 }
 
-TEST_CASE("a process whose relays lost their history reads anew, and is served")
+TEST_CASE("a process whose relays lost their history must read again")
 {
   CutProcess cut;
   cut.refusal_ = ErrorKind::Conflict;
@@ -483,7 +484,7 @@
   REQUIRE(cut.store_.openedWatches_ == 0);
 }
 
-TEST_CASE("peers of a relay that lost its place are told to read anew")
+TEST_CASE("peers of a relay whose watch ended must read again")
 {
   TwoProcesses two;
   two.Start();
@@ -497,16 +498,14 @@
   REQUIRE(kind == ErrorKind::Conflict);
 }
 
-// What was seen: a process of a large fleet, a relay, was ended for its memory
-// when the configuration of 4,236 routes changed. The order: 62 peers waited
-// for the change; each was sent all of it, 0.8 MB, over a link that passes 1%
-// of that in the time of the call, so that nearly all gave up and asked the
-// next relay. Cause: what a relay holds for its peers was bounded by a number
-// of changes.
-// A configuration that had grown to a few hundred KB was in force late at all
-// peers of a relay: it sent them 20 MB over a link of 60 Mbit/s, they gave it
-// up after 1.3 s and turned to the store only then.
-TEST_CASE("a change too large to be passed on is read by each process itself")
+// Sending a large change to all peers overloads a relay. A configuration of
+// 4,236 routes, 0.8 MB, was sent to each of 62 peers over a link that passes 1%
+// of that within the time of the call: nearly all peers timed out and queried
+// the next relay, and the relay was killed for its memory. The history was then
+// bounded only by a number of changes. A configuration of a few hundred KB took
+// effect late: the relay sent 20 MB over a link of 60 Mbit/s, and the peers
+// timed out after 1.3 s before they read from the store.
+TEST_CASE("a change too large for relays is read by each process itself")
 {
   const std::size_t bytes =
     GENERATE(100UL * 1024UL, WatchHistory::kMostBytes + 1);
@@ -530,8 +529,8 @@
 
 namespace {
 
-/// A process and two relays, each on its own way to the store. Watches of the
-/// relays are renewed as the store's adapter does it.
+/// A process and two relays, each on its own link to the store. Watches of the
+/// relays are renewed as by the store's adapter.
 struct TwoRelays
 {
   ManualClock clock_;
@@ -541,8 +540,8 @@
   std::vector<std::string> names_{ "first", "second" };
   std::map<std::string, std::unique_ptr<StoreLink>> links_;
   std::map<std::string, std::unique_ptr<RelayedStore>> relays_;
-  /// Relays that answer nobody.
-  std::set<std::string> silent_;
+  /// Relays that do not respond.
+  std::set<std::string> unresponsive_;
   std::unique_ptr<RelayedStore> process_;
   std::vector<std::string> seen_;
   TimePoint lastSeen_;
@@ -588,7 +587,7 @@
            const WatchAsk& aAsk,
            StoreDone<StoreWatchBatch> aDone)
   {
-    if (silent_.contains(aRelay)) {
+    if (unresponsive_.contains(aRelay)) {
       timers_.After(1300ms, [aDone] {
         aDone(Error{ ErrorKind::Timeout, "no answer" });
       });
@@ -608,33 +607,33 @@
 
 } // namespace
 
-// A configuration was in force 1.64 s after the store had it, of 2 s allowed,
-// at all peers of a relay that was cut off from the store: for so long it
-// vouched for what it held. A second fault in that time made callers get 404
-// for a route that was there.
-TEST_CASE("a change reaches a process in time though its relay lacks it")
+// A relay that is cut off from the store still confirms its history for a
+// while, so that a configuration took effect at its peers only after 1.64 s of
+// the 2 s allowed. With a second fault in that time, callers got 404 for an
+// existing route.
+TEST_CASE("a change reaches a process in time although its relay lacks it")
 {
   TwoRelays fix;
   fix.timers_.Advance(std::chrono::milliseconds(GENERATE(100, 400, 700, 1000)));
   std::string relay = GENERATE("first", "second");
   CAPTURE(relay);
-  SECTION("it is cut off from the store")
+  SECTION("the relay is cut off from the store")
   {
     fix.links_.at(relay)->SetCut(true);
   }
-  SECTION("it is silent")
+  SECTION("the relay is unresponsive")
   {
-    fix.silent_.insert(relay);
+    fix.unresponsive_.insert(relay);
   }
   const TimePoint put = fix.clock_.Now();
   fix.store_.Put("k/a", "1");
   fix.timers_.Advance(2s);
   REQUIRE(fix.seen_ == std::vector<std::string>{ "k/a" });
-  // Half of the two seconds that all of the way has.
+  // Half of the 2 s from the store to the effect of a change.
   REQUIRE(fix.lastSeen_ - put <= 1s);
 }
 
-TEST_CASE("what two relays tell is taken up once and in order")
+TEST_CASE("the changes from two relays are delivered once and in order")
 {
   TwoRelays fix;
   Random random(11);
@@ -665,12 +664,12 @@
   REQUIRE(fix.seen_ == put);
 }
 
-// With 3,001 upstreams that beat, relays that had twice to tell fell behind,
-// were doubted all the more, and a leaving upstream was known 4 s late.
-TEST_CASE("a relay that tells much or often is asked alone")
+// With heartbeats of 3,001 upstreams, sending each change through two relays
+// made relays fall behind, which caused more backup queries: a leaving upstream
+// became known 4 s late.
+TEST_CASE("no backup is queried beside a relay with large or frequent answers")
 {
-  // One that tells much may take longer than the time after which it is
-  // doubted.
+  // Large answers may take longer than the delay of the backup query.
   const auto [bytes, pause] =
     GENERATE(table<std::size_t, Duration>({ { 1, 400ms }, { 8000, 800ms } }));
   TwoRelays fix;
