--- a/src/programs/entryd/attempt_sink.hpp
+++ b/src/programs/entryd/attempt_sink.hpp
@@ -16,9 +16,9 @@
   /// The attempt was sent under this name.
   virtual void OnSent(HttpCallId aCall) = 0;
   /// The attempt ended; may set a body for the accounting of its cost.
-  [[nodiscard]] virtual AttemptEnd Judge(HttpResult& aResult) = 0;
+  [[nodiscard]] virtual AttemptEnd Classify(HttpResult& aResult) = 0;
   /// @returns whether no further attempt can help
-  [[nodiscard]] virtual bool GivenUp() const = 0;
+  [[nodiscard]] virtual bool IsAbandoned() const = 0;
 };
 
 } // namespace marjoramtally
--- a/src/programs/entryd/claim_gate.cpp
+++ b/src/programs/entryd/claim_gate.cpp
@@ -9,37 +9,37 @@
 
 constexpr std::string_view kClaimPrefix = "/marjoramtally/claims/";
 /// Ends names, so that reading one does not read longer ones.
-constexpr std::string_view kNameEnd = ".";
+constexpr std::string_view kKeyTerminator = ".";
 /// One lease serves all claims of this long, then a new one is taken.
 constexpr auto kLeaseRotation = std::chrono::hours(1);
 constexpr auto kLeaseRetry = std::chrono::seconds(1);
-constexpr auto kTick = std::chrono::milliseconds(50);
+constexpr auto kTickPeriod = std::chrono::milliseconds(50);
 /// Claim transactions a second that all entries together may make.
-constexpr std::int64_t kCommitsPerSecond = 150;
+constexpr std::int64_t kMaxCommitsPerSecond = 150;
 
 std::string
-UniqueOwner(const std::string& aInstance)
+MakeUniqueOwner(const std::string& aInstance)
 {
   std::random_device device;
   return aInstance + "." + std::to_string(device()) + std::to_string(device());
 }
 
 CommitResult
-EndOf(const Result<StoreCommit>& aResult)
+ToCommitResult(const Result<StoreCommit>& aResult)
 {
   if (!aResult) {
     // `NotFound`: the lease is gone, so no write took effect.
     const ErrorKind kind = aResult.error().kind_;
-    const bool proven =
+    const bool noEffect =
       kind == ErrorKind::Unavailable || kind == ErrorKind::NotFound;
-    return proven ? CommitResult::NoEffect : CommitResult::Unknown;
+    return noEffect ? CommitResult::NoEffect : CommitResult::Unknown;
   }
   return aResult.value().applied_ ? CommitResult::Applied
                                   : CommitResult::Conflict;
 }
 
 /// How an answer looks to its caller.
-struct AnswerForm
+struct ResponseForm
 {
   int status_;
   std::string_view kind_;
@@ -47,7 +47,7 @@
   bool retryAfter_;
 };
 
-constexpr std::array<AnswerForm, 6> kForms{ {
+constexpr std::array<ResponseForm, 6> kResponseForms{ {
   { 500, "internal", Outcome::Unknown, false },
   { 503, "refused-not-run", Outcome::RefusedNotRun, true },
   { 409, "key_reused", Outcome::RefusedNotRun, false },
@@ -61,8 +61,8 @@
 HttpResponse
 MakeClaimResponse(const ClaimVerdict& aVerdict)
 {
-  const AnswerForm& form =
-    kForms.at(static_cast<std::size_t>(aVerdict.answer_));
+  const ResponseForm& form =
+    kResponseForms.at(static_cast<std::size_t>(aVerdict.answer_));
   HttpResponse response =
     ErrorResponse(form.status_, form.kind_, aVerdict.reason_);
   response.headers_.push_back(
@@ -79,7 +79,7 @@
 
 ClaimGate::ClaimGate(Host& aHost)
   : host_(aHost)
-  , table_(UniqueOwner(aHost.Settings().instance_))
+  , table_(MakeUniqueOwner(aHost.Settings().instance_))
 {
 }
 
@@ -87,12 +87,12 @@
 ClaimGate::Start()
 {
   host_.ClusterState().OnRefresh(
-    [this](const ClusterViewPtr& aView) { FitGap(*aView); });
-  host_.TimerQueue().Every(kTick, [this] { Tick(); });
+    [this](const ClusterViewPtr& aView) { UpdateCommitInterval(*aView); });
+  host_.TimerQueue().Every(kTickPeriod, [this] { Tick(); });
 }
 
 void
-ClaimGate::FitGap(const ClusterView& aView)
+ClaimGate::UpdateCommitInterval(const ClusterView& aView)
 {
   std::int64_t entries = 0;
   for (const auto& [id, instance] : aView.instances_) {
@@ -100,7 +100,7 @@
   }
   const std::lock_guard lock(mutex_);
   table_.SetMinCommitInterval(Duration(std::chrono::seconds(1)) * entries /
-                              kCommitsPerSecond);
+                              kMaxCommitsPerSecond);
 }
 
 void
@@ -120,7 +120,7 @@
 {
   {
     const std::lock_guard lock(mutex_);
-    if (granting_ || host_.Now() < leaseDue_) {
+    if (granting_ || host_.Now() < nextGrant_) {
       return;
     }
     granting_ = true;
@@ -130,8 +130,8 @@
     [this](const Result<StoreLease>& aLease) {
       const std::lock_guard lock(mutex_);
       granting_ = false;
-      leaseDue_ = host_.Now() +
-                  (aLease ? Duration(kLeaseRotation) : Duration(kLeaseRetry));
+      nextGrant_ = host_.Now() +
+                   (aLease ? Duration(kLeaseRotation) : Duration(kLeaseRetry));
       if (aLease) {
         lease_ = aLease.value().id_;
       }
@@ -139,41 +139,42 @@
 }
 
 void
-ClaimGate::Ask(const RequestSpec& aSpec, Decided aDecided)
+ClaimGate::Claim(const RequestSpec& aSpec, VerdictCallback aOnVerdict)
 {
-  ClaimRequest ask;
-  ask.name_ = ClaimName(aSpec.service_, aSpec.key_);
-  ask.fingerprint_ = Fingerprint{ aSpec.fingerprint_ };
-  ask.deadline_ = aSpec.deadline_;
+  ClaimRequest request;
+  request.name_ = ClaimName(aSpec.service_, aSpec.key_);
+  request.fingerprint_ = Fingerprint{ aSpec.fingerprint_ };
+  request.deadline_ = aSpec.deadline_;
   ClaimActions actions;
   {
     const std::lock_guard lock(mutex_);
-    ask.ticket_ = ClaimTicket{ ++lastTicket_ };
-    asking_.emplace(ask.ticket_, Asking{ ask.name_, std::move(aDecided) });
-    actions = table_.Claim(std::move(ask), host_.Now());
+    request.ticket_ = ClaimTicket{ ++lastTicket_ };
+    pendingClaims_.emplace(
+      request.ticket_, PendingClaim{ request.name_, std::move(aOnVerdict) });
+    actions = table_.Claim(std::move(request), host_.Now());
   }
   Perform(std::move(actions));
 }
 
 void
-ClaimGate::End(const RequestSpec& aSpec,
-               Outcome aOutcome,
-               int aStatus,
-               Recorded aRecorded)
+ClaimGate::RecordOutcome(const RequestSpec& aSpec,
+                         Outcome aOutcome,
+                         int aStatus,
+                         RecordedCallback aOnRecorded)
 {
   const std::string name = ClaimName(aSpec.service_, aSpec.key_);
   ClaimActions actions;
   {
     const std::lock_guard lock(mutex_);
-    const auto node = running_.extract(name);
-    ending_.emplace(node.mapped(), std::move(aRecorded));
+    const auto node = runningTickets_.extract(name);
+    recordCallbacks_.emplace(node.mapped(), std::move(aOnRecorded));
     actions = table_.OnRunEnd(name, aOutcome, aStatus, host_.Now());
   }
   Perform(std::move(actions));
 }
 
 std::size_t
-ClaimGate::Open() const
+ClaimGate::OpenCount() const
 {
   const std::lock_guard lock(mutex_);
   return table_.Open();
@@ -189,35 +190,36 @@
     ReadBack(name);
   }
   for (const ClaimVerdict& verdict : aActions.verdicts_) {
-    Decide(verdict);
+    DeliverVerdict(verdict);
   }
   for (const ClaimTicket ticket : aActions.closed_) {
-    Recorded recorded;
+    RecordedCallback recorded;
     {
       const std::lock_guard lock(mutex_);
-      recorded = std::move(ending_.extract(ticket).mapped());
+      recorded = std::move(recordCallbacks_.extract(ticket).mapped());
     }
     recorded();
   }
 }
 
 void
-ClaimGate::Decide(const ClaimVerdict& aVerdict)
+ClaimGate::DeliverVerdict(const ClaimVerdict& aVerdict)
 {
   const bool runs = aVerdict.answer_ == ClaimAnswer::Run;
-  Asking asking;
+  PendingClaim claim;
   {
     const std::lock_guard lock(mutex_);
-    asking = std::move(asking_.extract(aVerdict.ticket_).mapped());
+    claim = std::move(pendingClaims_.extract(aVerdict.ticket_).mapped());
     if (runs) {
-      running_[asking.name_] = aVerdict.ticket_;
+      runningTickets_[claim.name_] = aVerdict.ticket_;
     }
   }
   const std::string_view kind =
-    runs ? "run" : kForms.at(static_cast<std::size_t>(aVerdict.answer_)).kind_;
+    runs ? "run"
+         : kResponseForms.at(static_cast<std::size_t>(aVerdict.answer_)).kind_;
   host_.Measures().Count("marjoram_claims_total{answer=\"" + std::string(kind) +
                          "\"}");
-  asking.decided_(aVerdict);
+  claim.onVerdict_(aVerdict);
 }
 
 void
@@ -231,7 +233,7 @@
   }
   for (const ClaimWrite& write : aBatch.writes_) {
     const std::string key =
-      std::string(kClaimPrefix) + write.name_ + std::string(kNameEnd);
+      std::string(kClaimPrefix) + write.name_ + std::string(kKeyTerminator);
     txn.compares_.push_back({ key, write.expected_ });
     if (write.value_.empty()) {
       txn.deletes_.push_back(key);
@@ -247,8 +249,9 @@
   host_.Measures().Count("marjoram_claim_commits_total");
   host_.Measures().Count("marjoram_claim_writes_total", aBatch.writes_.size());
   host_.PlatformStore().Commit(
-    std::move(txn), [this, id = aBatch.id_](const Result<StoreCommit>& aEnd) {
-      OnCommitted(id, aEnd);
+    std::move(txn),
+    [this, id = aBatch.id_](const Result<StoreCommit>& aResult) {
+      OnCommitted(id, aResult);
     });
 }
 
@@ -265,10 +268,10 @@
     const std::lock_guard lock(mutex_);
     if (!aResult && aResult.error().kind_ == ErrorKind::NotFound) {
       lease_ = 0;
-      leaseDue_ = host_.Now();
+      nextGrant_ = host_.Now();
     }
     actions = table_.OnCommit(aId,
-                              EndOf(aResult),
+                              ToCommitResult(aResult),
                               aResult ? aResult.value().revision_ : 0,
                               host_.Now());
   }
@@ -279,20 +282,20 @@
 ClaimGate::ReadBack(const std::string& aName)
 {
   const std::string key =
-    std::string(kClaimPrefix) + aName + std::string(kNameEnd);
+    std::string(kClaimPrefix) + aName + std::string(kKeyTerminator);
   host_.PlatformStore().Read(
     key, [this, aName](const Result<StoreRange>& aRange) {
-      ClaimReadResult reading;
-      reading.failed_ = !aRange;
+      ClaimReadResult readResult;
+      readResult.failed_ = !aRange;
       if (aRange && !aRange.value().records_.empty()) {
         const StoreRecord& record = aRange.value().records_.front();
-        reading.record_ = DecodeClaim(record.value_);
-        reading.revision_ = record.modRevision_;
+        readResult.record_ = DecodeClaim(record.value_);
+        readResult.revision_ = record.modRevision_;
       }
       ClaimActions actions;
       {
         const std::lock_guard lock(mutex_);
-        actions = table_.OnRead(aName, reading, host_.Now());
+        actions = table_.OnRead(aName, readResult, host_.Now());
       }
       Perform(std::move(actions));
     });
--- a/src/programs/entryd/claim_gate.hpp
+++ b/src/programs/entryd/claim_gate.hpp
@@ -11,36 +11,36 @@
 class ClaimGate
 {
 public:
-  using Decided = std::function<void(ClaimVerdict)>;
-  using Recorded = std::function<void()>;
+  using VerdictCallback = std::function<void(ClaimVerdict)>;
+  using RecordedCallback = std::function<void()>;
 
   explicit ClaimGate(Host& aHost);
 
   void Start();
-  /// Claims a request's key; `aDecided` is called exactly once.
-  void Ask(const RequestSpec& aSpec, Decided aDecided);
-  /// Records how a request ended that was told to run; `aRecorded` is
+  /// Claims a request's key; `aOnVerdict` is called exactly once.
+  void Claim(const RequestSpec& aSpec, VerdictCallback aOnVerdict);
+  /// Records how a request ended that was told to run; `aOnRecorded` is
   /// called once a resend meets that end, or when it cannot be written.
-  void End(const RequestSpec& aSpec,
-           Outcome aOutcome,
-           int aStatus,
-           Recorded aRecorded);
+  void RecordOutcome(const RequestSpec& aSpec,
+                     Outcome aOutcome,
+                     int aStatus,
+                     RecordedCallback aOnRecorded);
   /// @returns claims in progress
-  [[nodiscard]] std::size_t Open() const;
+  [[nodiscard]] std::size_t OpenCount() const;
 
 private:
   /// A request that waits for its verdict.
-  struct Asking
+  struct PendingClaim
   {
     std::string name_;
-    Decided decided_;
+    VerdictCallback onVerdict_;
   };
 
   void Tick();
   void EnsureLease();
-  void FitGap(const ClusterView& aView);
+  void UpdateCommitInterval(const ClusterView& aView);
   void Perform(ClaimActions aActions);
-  void Decide(const ClaimVerdict& aVerdict);
+  void DeliverVerdict(const ClaimVerdict& aVerdict);
   void Commit(ClaimBatch aBatch);
   void OnCommitted(ClaimBatchId aId, const Result<StoreCommit>& aResult);
   void ReadBack(const std::string& aName);
@@ -49,12 +49,12 @@
   mutable std::mutex mutex_;
   ClaimTable table_;
   std::uint64_t lastTicket_ = 0;
-  std::unordered_map<ClaimTicket, Asking> asking_;
-  std::unordered_map<ClaimTicket, Recorded> ending_;
+  std::unordered_map<ClaimTicket, PendingClaim> pendingClaims_;
+  std::unordered_map<ClaimTicket, RecordedCallback> recordCallbacks_;
   /// The ticket under which a running request was claimed.
-  std::unordered_map<std::string, ClaimTicket> running_;
+  std::unordered_map<std::string, ClaimTicket> runningTickets_;
   StoreLeaseId lease_ = 0;
-  TimePoint leaseDue_;
+  TimePoint nextGrant_;
   bool granting_ = false;
 };
 
--- a/src/programs/entryd/completions.cpp
+++ b/src/programs/entryd/completions.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-Result<CompletionAsk>
+Result<CompletionParams>
 ParseCompletionRequest(const std::string& aBody)
 {
   try {
@@ -49,9 +49,9 @@
     if (stream && body.value("n", 1) != 1) {
       return Error{ ErrorKind::BadInput, "a stream has one choice: 'n' is 1" };
     }
-    return CompletionAsk{ body.at("model").get<std::string>(),
-                          body.value("max_tokens", kDefaultMaxTokens),
-                          stream };
+    return CompletionParams{ body.at("model").get<std::string>(),
+                             body.value("max_tokens", kDefaultMaxTokens),
+                             stream };
   } catch (const Json::exception& failure) {
     return Error{ ErrorKind::BadInput,
                   std::string("the body is no completion request: ") +
@@ -85,7 +85,7 @@
 }
 
 AttemptEnd
-JudgeCompletion(const HttpResponse& aResponse)
+ClassifyCompletion(const HttpResponse& aResponse)
 {
   const auto outcome = FindHeader(aResponse.headers_, kOutcomeHeader);
   if (outcome == ToString(Outcome::RefusedNotRun)) {
--- a/src/programs/entryd/completions.hpp
+++ b/src/programs/entryd/completions.hpp
@@ -8,7 +8,7 @@
 namespace marjoramtally {
 
 /// What routing needs of a completion request.
-struct CompletionAsk
+struct CompletionParams
 {
   std::string model_;
   std::uint64_t maxTokens_ = 0;
@@ -16,7 +16,7 @@
   bool stream_ = false;
 };
 
-[[nodiscard]] Result<CompletionAsk>
+[[nodiscard]] Result<CompletionParams>
 ParseCompletionRequest(const std::string& aBody);
 
 /// @returns the service whose engines serve a model
@@ -29,7 +29,7 @@
 
 /// A completion is whole only if every choice has a finish reason.
 [[nodiscard]] AttemptEnd
-JudgeCompletion(const HttpResponse& aResponse);
+ClassifyCompletion(const HttpResponse& aResponse);
 
 /// Turns a completed generation into an encoded `GenerateReply`.
 [[nodiscard]] Result<std::string>
--- a/src/programs/entryd/crash_guard.cpp
+++ b/src/programs/entryd/crash_guard.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr auto kTellTimeout = std::chrono::seconds(1);
+constexpr auto kAnnounceTimeout = std::chrono::seconds(1);
 
 Fingerprint
 FingerprintOf(const RequestSpec& aSpec)
@@ -18,11 +18,11 @@
 CrashGuard::Start()
 {
   host_.ClusterState().OnRefresh(
-    [this](const ClusterViewPtr& aView) { ShareOut(*aView); });
+    [this](const ClusterViewPtr& aView) { AssignUpstreams(*aView); });
 }
 
 void
-CrashGuard::ShareOut(const ClusterView& aView)
+CrashGuard::AssignUpstreams(const ClusterView& aView)
 {
   std::vector<InstanceId> entries;
   for (const auto& [id, instance] : aView.instances_) {
@@ -51,15 +51,15 @@
 }
 
 QuarantineVerdict
-CrashGuard::Judge(const RequestSpec& aSpec)
+CrashGuard::Check(const RequestSpec& aSpec)
 {
   const std::lock_guard lock(mutex_);
   return quarantine_.Judge(FingerprintOf(aSpec), host_.Now());
 }
 
 std::vector<UpstreamId>
-CrashGuard::Avoid(const RequestSpec& aSpec,
-                  std::vector<UpstreamId> aTried) const
+CrashGuard::UpstreamsToAvoid(const RequestSpec& aSpec,
+                             std::vector<UpstreamId> aTried) const
 {
   const std::lock_guard lock(mutex_);
   if (quarantine_.size() == 0) {
@@ -83,10 +83,10 @@
 }
 
 void
-CrashGuard::OnEnd(const RequestSpec& aSpec,
-                  const UpstreamId& aUpstream,
-                  HttpEnd aHttpEnd,
-                  AttemptEnd aEnd)
+CrashGuard::OnAttemptEnd(const RequestSpec& aSpec,
+                         const UpstreamId& aUpstream,
+                         HttpEnd aHttpEnd,
+                         AttemptEnd aEnd)
 {
   const Fingerprint fingerprint = FingerprintOf(aSpec);
   std::vector<SuspicionUpdate> updates;
@@ -116,11 +116,11 @@
              { "upstream", aUpstream.Get() },
              { "crashes", std::to_string(update.crashes_.size()) },
              { "refused_for", FormatDuration(update.refusedFor_) } });
-  Tell(updates);
+  Announce(updates);
 }
 
 void
-CrashGuard::Tell(const std::vector<SuspicionUpdate>& aUpdates)
+CrashGuard::Announce(const std::vector<SuspicionUpdate>& aUpdates)
 {
   const std::string body = Encode(aUpdates);
   const auto view = host_.ClusterState().View();
@@ -130,7 +130,7 @@
     }
     RpcCall call;
     call.topic_ = RpcTopic::Claim;
-    call.timeout_ = kTellTimeout;
+    call.timeout_ = kAnnounceTimeout;
     call.body_ = body;
     host_.Rpc().Call(instance.rpc_, std::move(call), [](const RpcReply&) {});
   }
--- a/src/programs/entryd/crash_guard.hpp
+++ b/src/programs/entryd/crash_guard.hpp
@@ -20,10 +20,10 @@
   /// upstreams that are known.
   void Start();
   /// @returns whether a request may run
-  [[nodiscard]] QuarantineVerdict Judge(const RequestSpec& aSpec);
+  [[nodiscard]] QuarantineVerdict Check(const RequestSpec& aSpec);
   /// @returns upstreams to avoid: those tried and those where another
   /// suspect is in progress
-  [[nodiscard]] std::vector<UpstreamId> Avoid(
+  [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
     const RequestSpec& aSpec,
     std::vector<UpstreamId> aTried) const;
   /// Starts an attempt.
@@ -31,17 +31,17 @@
   [[nodiscard]] bool TryStart(const RequestSpec& aSpec,
                               const UpstreamId& aUpstream);
   /// Ends an attempt.
-  void OnEnd(const RequestSpec& aSpec,
-             const UpstreamId& aUpstream,
-             HttpEnd aHttpEnd,
-             AttemptEnd aEnd);
+  void OnAttemptEnd(const RequestSpec& aSpec,
+                    const UpstreamId& aUpstream,
+                    HttpEnd aHttpEnd,
+                    AttemptEnd aEnd);
   /// Answers another entry's call.
   void OnRpc(const RpcCall& aCall, const RpcDone& aDone);
 
 private:
-  void ShareOut(const ClusterView& aView);
+  void AssignUpstreams(const ClusterView& aView);
   [[nodiscard]] bool IsZoneEntry(const InstanceRecord& aInstance) const;
-  void Tell(const std::vector<SuspicionUpdate>& aUpdates);
+  void Announce(const std::vector<SuspicionUpdate>& aUpdates);
 
   Host& host_;
   mutable std::mutex mutex_;
--- a/src/programs/entryd/dispatch_queue.cpp
+++ b/src/programs/entryd/dispatch_queue.cpp
@@ -3,8 +3,8 @@
 namespace marjoramtally {
 
 void
-DispatchQueue::TakeLimits(const Rules& aRules,
-                          const std::vector<UpstreamView>& aUpstreams)
+DispatchQueue::UpdateLimits(const Rules& aRules,
+                            const std::vector<UpstreamView>& aUpstreams)
 {
   admission_.SetClasses(aRules.classes_);
   for (const auto& [id, trainer] : aRules.trainers_) {
@@ -21,7 +21,7 @@
 
 std::vector<AttemptStart>
 DispatchQueue::PickStarts(const ServiceId& aService,
-                          const Flights& aFlights,
+                          const InFlightRequests& aRequests,
                           TimePoint aNow)
 {
   std::vector<AttemptStart> starts;
@@ -29,9 +29,11 @@
   admission_.Resume(aService);
   while (const QueuedRequest* queued = admission_.Next(aService, aNow)) {
     const TicketId ticket = queued->ticket_;
-    const FlightPtr& flight = aFlights.at(ticket);
-    UpstreamPtr upstream = router_.Pick(
-      queued->spec_, crashes_.Avoid(queued->spec_, flight->tried_), aNow);
+    const InFlightRequestPtr& request = aRequests.at(ticket);
+    UpstreamPtr upstream =
+      router_.Pick(queued->spec_,
+                   crashes_.UpstreamsToAvoid(queued->spec_, request->tried_),
+                   aNow);
     if (!upstream) {
       admission_.Stall(ticket);
     } else if (!crashes_.TryStart(queued->spec_, upstream->id_)) {
@@ -41,7 +43,7 @@
     } else {
       router_.OnSent(upstream->id_, queued->spec_, aNow);
       admission_.Dispatch(ticket, aNow);
-      starts.push_back({ ticket, flight, std::move(upstream) });
+      starts.push_back({ ticket, request, std::move(upstream) });
     }
   }
   for (QueuedRequest& suspect : suspects) {
@@ -51,12 +53,12 @@
 }
 
 std::vector<ExpiredRequest>
-DispatchQueue::TakeExpired(const Flights& aFlights, TimePoint aNow)
+DispatchQueue::TakeExpired(const InFlightRequests& aRequests, TimePoint aNow)
 {
   std::vector<ExpiredRequest> expired;
   for (const QueuedRequest& request : admission_.Expire(aNow)) {
     expired.push_back({ request.ticket_,
-                        aFlights.at(request.ticket_),
+                        aRequests.at(request.ticket_),
                         admission_.ExpectedWait(request.spec_) });
   }
   return expired;
--- a/src/programs/entryd/dispatch_queue.hpp
+++ b/src/programs/entryd/dispatch_queue.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "programs/entryd/crash_guard.hpp"
-#include "programs/entryd/flight.hpp"
+#include "programs/entryd/in_flight_request.hpp"
 
 namespace marjoramtally {
 
@@ -10,7 +10,7 @@
 struct ExpiredRequest
 {
   TicketId ticket_;
-  FlightPtr flight_;
+  InFlightRequestPtr request_;
   /// Expected time in the queue.
   Duration wait_{ 0 };
 };
@@ -28,8 +28,8 @@
   }
 
   /// Takes over the rules' limits of classes, trainers and services.
-  void TakeLimits(const Rules& aRules,
-                  const std::vector<UpstreamView>& aUpstreams);
+  void UpdateLimits(const Rules& aRules,
+                    const std::vector<UpstreamView>& aUpstreams);
   /// Takes a new request, or says why not.
   [[nodiscard]] AdmissionVerdict Enqueue(TicketId aTicket,
                                          const RequestSpec& aSpec,
@@ -44,12 +44,14 @@
   }
   /// @returns attempts of a service's requests to send now, which the router
   /// counts as sent
-  [[nodiscard]] std::vector<AttemptStart> PickStarts(const ServiceId& aService,
-                                                     const Flights& aFlights,
-                                                     TimePoint aNow);
+  [[nodiscard]] std::vector<AttemptStart> PickStarts(
+    const ServiceId& aService,
+    const InFlightRequests& aRequests,
+    TimePoint aNow);
   /// Removes and returns requests that can no longer meet their deadline.
-  [[nodiscard]] std::vector<ExpiredRequest> TakeExpired(const Flights& aFlights,
-                                                        TimePoint aNow);
+  [[nodiscard]] std::vector<ExpiredRequest> TakeExpired(
+    const InFlightRequests& aRequests,
+    TimePoint aNow);
   /// Ends a request that was started.
   /// @param aTokens tokens generated, if the answer was whole
   void Complete(TicketId aTicket,
--- a/src/programs/entryd/dispatch_result.cpp
+++ b/src/programs/entryd/dispatch_result.cpp
@@ -21,7 +21,7 @@
 {
   DispatchResult refused;
   const bool full = aVerdict.kind_ == AdmissionVerdict::Kind::QueueFull;
-  refused.late_ = !full;
+  refused.deadlineMissed_ = !full;
   refused.retryAfter_ = aVerdict.retryAfter_;
   refused.reason_ = full ? "the queue of its class is full"
                          : "it would miss its deadline: the expected wait is " +
@@ -42,7 +42,7 @@
 MakeExpired(Duration aWait, NextStep aLast)
 {
   DispatchResult result;
-  result.late_ = true;
+  result.deadlineMissed_ = true;
   result.retryAfter_ = aWait;
   result.reason_ = "the queue left too little time before its deadline";
   result.outcome_ = OutcomeOf(aLast);
@@ -54,7 +54,7 @@
 {
   DispatchResult result;
   result.upstream_ = aUpstream;
-  result.late_ = aResult.end_ == HttpEnd::TimedOut;
+  result.deadlineMissed_ = aResult.end_ == HttpEnd::TimedOut;
   result.reason_ = std::move(aResult.message_);
   result.response_ = std::move(aResult.response_);
   result.outcome_ = OutcomeOf(aLast);
--- a/src/programs/entryd/dispatch_result.hpp
+++ b/src/programs/entryd/dispatch_result.hpp
@@ -17,7 +17,7 @@
   /// Why it was not completed, for people.
   std::string reason_;
   /// Whether it was its deadline that ended it.
-  bool late_ = false;
+  bool deadlineMissed_ = false;
   /// When sending it again makes sense.
   Duration retryAfter_ = std::chrono::seconds(1);
 };
--- a/src/programs/entryd/dispatcher.cpp
+++ b/src/programs/entryd/dispatcher.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t kMaxAttempts = 4;
-constexpr auto kPumpPeriod = std::chrono::milliseconds(20);
+constexpr auto kDispatchPeriod = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -27,11 +27,11 @@
 {
   crashes_.Start();
   host_.ClusterState().OnRefresh(
-    [this](const ClusterViewPtr& aView) { TakeView(aView); });
+    [this](const ClusterViewPtr& aView) { ApplyView(aView); });
   reports_.Start();
-  host_.TimerQueue().Every(kPumpPeriod, [this] {
+  host_.TimerQueue().Every(kDispatchPeriod, [this] {
     Expire();
-    Pump();
+    DispatchWaiting();
     HedgeStragglers();
   });
 }
@@ -40,7 +40,7 @@
 Dispatcher::Unfinished() const
 {
   const std::lock_guard lock(mutex_);
-  return flights_.size();
+  return requests_.size();
 }
 
 bool
@@ -50,72 +50,72 @@
 }
 
 void
-Dispatcher::TakeView(const ClusterViewPtr& aView)
+Dispatcher::ApplyView(const ClusterViewPtr& aView)
 {
   const std::vector<UpstreamView> upstreams = ListUpstreams(*aView->rules_);
   {
     const std::lock_guard lock(mutex_);
     router_.SetUpstreams(upstreams, host_.Now());
     reports_.SetUpstreams(upstreams);
-    queue_.TakeLimits(*aView->rules_, upstreams);
+    queue_.UpdateLimits(*aView->rules_, upstreams);
   }
-  Pump();
+  DispatchWaiting();
 }
 
 void
 Dispatcher::Submit(RequestSpec aSpec,
                    UpstreamMessage aMessage,
                    TraceContext aTrace,
-                   ResponseJudge aJudge,
+                   ResponseClassifier aClassify,
                    DispatchDone aDone)
 {
   Span queueSpan = StartSpan(aTrace, "queue");
-  auto flight = std::make_shared<Flight>(Flight{
+  auto request = std::make_shared<InFlightRequest>(InFlightRequest{
     std::move(aSpec),
     std::move(aMessage),
-    std::move(aJudge),
+    std::move(aClassify),
     std::move(aDone),
     Attempts(kMaxAttempts),
     {},
     std::move(aTrace),
     std::move(queueSpan),
   });
-  const TicketId ticket = Open(flight);
-  if (FinishIfQuarantined(ticket, flight)) {
+  const TicketId ticket = AddRequest(request);
+  if (FinishIfQuarantined(ticket, request)) {
     return;
   }
   AdmissionVerdict verdict;
   {
     const std::lock_guard lock(mutex_);
-    verdict = queue_.Enqueue(ticket, flight->spec_, host_.Now());
+    verdict = queue_.Enqueue(ticket, request->spec_, host_.Now());
   }
   if (verdict.kind_ != AdmissionVerdict::Kind::Queued) {
-    Refuse(ticket, flight, verdict);
+    Refuse(ticket, request, verdict);
     return;
   }
-  PumpService(flight->spec_.service_);
+  DispatchService(request->spec_.service_);
 }
 
 TicketId
-Dispatcher::Open(const FlightPtr& aFlight)
+Dispatcher::AddRequest(const InFlightRequestPtr& aRequest)
 {
   const std::lock_guard lock(mutex_);
   const TicketId ticket{ ++lastTicket_ };
-  flights_.emplace(ticket, aFlight);
+  requests_.emplace(ticket, aRequest);
   return ticket;
 }
 
 void
 Dispatcher::Refuse(TicketId aTicket,
-                   const FlightPtr& aFlight,
+                   const InFlightRequestPtr& aRequest,
                    const AdmissionVerdict& aVerdict)
 {
   const bool full = aVerdict.kind_ == AdmissionVerdict::Kind::QueueFull;
   host_.Measures().Count("marjoram_refused_total{reason=\"" +
                          std::string(full ? "queue_full" : "would_be_late") +
                          "\",class=\"" +
-                         std::string(ToString(aFlight->spec_.class_)) + "\"}");
-  Finish(aTicket, aFlight, MakeRefused(aVerdict));
+                         std::string(ToString(aRequest->spec_.class_)) + "\"}");
+  Finish(aTicket, aRequest, MakeRefused(aVerdict));
 }
 
 void
@@ -124,15 +124,15 @@
   std::vector<ExpiredRequest> expired;
   {
     const std::lock_guard lock(mutex_);
-    expired = queue_.TakeExpired(flights_, host_.Now());
+    expired = queue_.TakeExpired(requests_, host_.Now());
   }
-  for (const auto& [ticket, flight, wait] : expired) {
-    Finish(ticket, flight, MakeExpired(wait, flight->attempts_.FinalStep()));
+  for (const auto& [ticket, request, wait] : expired) {
+    Finish(ticket, request, MakeExpired(wait, request->attempts_.FinalStep()));
   }
 }
 
 void
-Dispatcher::Pump()
+Dispatcher::DispatchWaiting()
 {
   std::vector<ServiceId> services;
   {
@@ -140,21 +140,21 @@
     services = queue_.Waiting();
   }
   for (const ServiceId& service : services) {
-    PumpService(service);
+    DispatchService(service);
   }
 }
 
 void
-Dispatcher::PumpService(const ServiceId& aService)
+Dispatcher::DispatchService(const ServiceId& aService)
 {
   std::vector<AttemptStart> starts;
   {
     const std::lock_guard lock(mutex_);
-    starts = queue_.PickStarts(aService, flights_, host_.Now());
+    starts = queue_.PickStarts(aService, requests_, host_.Now());
     RecordStarts(starts);
   }
   for (const AttemptStart& start : starts) {
-    host_.Traces().End(start.flight_->queueSpan_);
+    host_.Traces().End(start.request_->queueSpan_);
     SendAttempt(start);
   }
 }
@@ -166,7 +166,7 @@
   {
     const std::lock_guard lock(mutex_);
     // Capacity is idle only while nothing waits for it.
-    hedges = hedges_.Review(flights_, queue_.empty(), host_.Now());
+    hedges = hedges_.Review(requests_, queue_.empty(), host_.Now());
     RecordStarts(hedges);
   }
   for (const AttemptStart& hedge : hedges) {
@@ -178,12 +178,12 @@
 void
 Dispatcher::SendAttempt(const AttemptStart& aStart)
 {
-  const Flight& flight = *aStart.flight_;
-  Span span = StartSpan(flight.trace_, "upstream");
+  const InFlightRequest& request = *aStart.request_;
+  Span span = StartSpan(request.trace_, "upstream");
   span.attributes_["upstream"] = aStart.upstream_->id_.Get();
   HttpCall call =
-    MakeCall(flight, *aStart.upstream_, span.context_, host_.Now());
-  const auto sink = flight.message_.sink_;
+    MakeCall(request, *aStart.upstream_, span.context_, host_.Now());
+  const auto sink = request.message_.sink_;
   if (sink) {
     sink->Prepare(call);
   }
@@ -203,10 +203,10 @@
 {
   const TimePoint now = host_.Now();
   for (const AttemptStart& start : aStarts) {
-    Flight& flight = *start.flight_;
-    flight.sent_.push_back({ start.upstream_->id_, now, std::nullopt });
+    InFlightRequest& request = *start.request_;
+    request.sent_.push_back({ start.upstream_->id_, now, std::nullopt });
     hedges_.OnStarted(
-      start.ticket_, flight, queue_.ExpectedTokens(flight.spec_), now);
+      start.ticket_, request, queue_.ExpectedTokens(request.spec_), now);
   }
 }
 
@@ -214,7 +214,7 @@
 Dispatcher::RecordCall(const AttemptStart& aStart, HttpCallId aCall)
 {
   const std::lock_guard lock(mutex_);
-  for (SentAttempt& sent : aStart.flight_->sent_) {
+  for (SentAttempt& sent : aStart.request_->sent_) {
     if (sent.upstream_ == aStart.upstream_->id_) {
       sent.call_ = aCall;
     }
@@ -224,25 +224,25 @@
 void
 Dispatcher::EndAttempt(const AttemptStart& aStart, HttpResult aResult)
 {
-  const RequestSpec& spec = aStart.flight_->spec_;
+  const RequestSpec& spec = aStart.request_->spec_;
   const UpstreamId& upstream = aStart.upstream_->id_;
-  const AttemptEnd end = JudgeAttempt(*aStart.flight_, aResult);
-  crashes_.OnEnd(spec, upstream, aResult.end_, end);
-  const auto decision = Decide(aStart, end, crashes_.Judge(spec), aResult);
+  const AttemptEnd end = ClassifyAttempt(*aStart.request_, aResult);
+  crashes_.OnAttemptEnd(spec, upstream, aResult.end_, end);
+  const auto decision = Decide(aStart, end, crashes_.Check(spec), aResult);
   if (!decision) {
     return;
   }
-  for (const SentAttempt& loser : decision->losers_) {
-    if (loser.call_) {
-      host_.Http().Cancel(*loser.call_);
+  for (const SentAttempt& unneeded : decision->toCancel_) {
+    if (unneeded.call_) {
+      host_.Http().Cancel(*unneeded.call_);
     }
   }
   if (decision->next_ != NextStep::Retry) {
     Finish(aStart.ticket_,
-           aStart.flight_,
+           aStart.request_,
            MakeEnded(upstream, std::move(aResult), decision->next_));
   }
-  PumpService(spec.service_);
+  DispatchService(spec.service_);
 }
 
 std::optional<Dispatcher::Decision>
@@ -253,36 +253,37 @@
 {
   const std::lock_guard lock(mutex_);
   const TimePoint now = host_.Now();
-  Flight& flight = *aStart.flight_;
+  InFlightRequest& request = *aStart.request_;
   const auto tokens = aEnd == AttemptEnd::Complete
                         ? std::optional(CountTokens(aResult.response_))
                         : std::nullopt;
-  TellRouter(aStart, aEnd, aResult);
-  if (flight.won_ && tokens) {
+  ReportToRouter(aStart, aEnd, aResult);
+  if (request.answered_ && tokens) {
     hedges_.OnWasted(*tokens);
   }
-  if (!Decides(flight, aStart.upstream_->id_, aEnd, now)) {
+  if (!RecordAttemptEnd(request, aStart.upstream_->id_, aEnd, now)) {
     return std::nullopt;
   }
   queue_.Complete(aStart.ticket_, tokens, now);
-  hedges_.OnDecided(aStart.ticket_, flight, tokens, now);
-  Decision decision{ NextAfter(flight, aEnd, aVerdict, aResult), flight.sent_ };
+  hedges_.OnDecided(aStart.ticket_, request, tokens, now);
+  Decision decision{ ChooseNextStep(request, aEnd, aVerdict, aResult),
+                     request.sent_ };
   if (decision.next_ == NextStep::Retry) {
-    flight.queueSpan_ = StartSpan(flight.trace_, "queue");
-    queue_.EnqueueFront(aStart.ticket_, flight.spec_, now);
+    request.queueSpan_ = StartSpan(request.trace_, "queue");
+    queue_.EnqueueFront(aStart.ticket_, request.spec_, now);
   }
   return decision;
 }
 
 void
-Dispatcher::TellRouter(const AttemptStart& aStart,
-                       AttemptEnd aEnd,
-                       const HttpResult& aResult)
+Dispatcher::ReportToRouter(const AttemptStart& aStart,
+                           AttemptEnd aEnd,
+                           const HttpResult& aResult)
 {
   const UpstreamId& upstream = aStart.upstream_->id_;
-  const SentAttempt sent = TakeSent(*aStart.flight_, upstream);
+  const SentAttempt sent = RemoveSent(*aStart.request_, upstream);
   router_.OnDone(upstream,
-                 aStart.flight_->spec_,
+                 aStart.request_->spec_,
                  { aEnd,
                    aResult.end_ == HttpEnd::TimedOut,
                    aResult.end_ == HttpEnd::Cancelled,
@@ -292,58 +293,59 @@
 }
 
 NextStep
-Dispatcher::NextAfter(Flight& aFlight,
-                      AttemptEnd aEnd,
-                      const QuarantineVerdict& aVerdict,
-                      HttpResult& aResult)
+Dispatcher::ChooseNextStep(InFlightRequest& aRequest,
+                           AttemptEnd aEnd,
+                           const QuarantineVerdict& aVerdict,
+                           HttpResult& aResult)
 {
   const NextStep next =
-    aFlight.attempts_.RecordEnd(aFlight.spec_, aEnd, host_.Now());
+    aRequest.attempts_.RecordEnd(aRequest.spec_, aEnd, host_.Now());
   if (next == NextStep::FinishCompleted) {
-    retries_.OnSuccess(aFlight.spec_.service_);
+    retries_.OnSuccess(aRequest.spec_.service_);
   }
   if (next != NextStep::Retry) {
     return next;
   }
-  const auto& sink = aFlight.message_.sink_;
-  if (sink && sink->GivenUp()) {
-    return aFlight.attempts_.FinalStep();
+  const auto& sink = aRequest.message_.sink_;
+  if (sink && sink->IsAbandoned()) {
+    return aRequest.attempts_.FinalStep();
   }
-  if (!retries_.Take(aFlight.spec_.service_)) {
+  if (!retries_.Take(aRequest.spec_.service_)) {
     host_.Measures().Count("marjoram_retries_refused_total");
-    return aFlight.attempts_.FinalStep();
+    return aRequest.attempts_.FinalStep();
   }
   if (aVerdict.refused_) {
     aResult.message_ = aVerdict.reason_;
-    return aFlight.attempts_.FinalStep();
+    return aRequest.attempts_.FinalStep();
   }
   return next;
 }
 
 bool
-Dispatcher::FinishIfQuarantined(TicketId aTicket, const FlightPtr& aFlight)
+Dispatcher::FinishIfQuarantined(TicketId aTicket,
+                                const InFlightRequestPtr& aRequest)
 {
-  const QuarantineVerdict verdict = crashes_.Judge(aFlight->spec_);
+  const QuarantineVerdict verdict = crashes_.Check(aRequest->spec_);
   if (!verdict.refused_) {
     return false;
   }
-  Finish(aTicket, aFlight, MakeQuarantined(verdict));
+  Finish(aTicket, aRequest, MakeQuarantined(verdict));
   return true;
 }
 
 void
 Dispatcher::Finish(TicketId aTicket,
-                   const FlightPtr& aFlight,
+                   const InFlightRequestPtr& aRequest,
                    DispatchResult aResult)
 {
   {
     const std::lock_guard lock(mutex_);
-    flights_.erase(aTicket);
+    requests_.erase(aTicket);
   }
-  measures_.Finished(aFlight->spec_.class_,
-                     aResult.outcome_,
-                     host_.Now() - aFlight->spec_.arrived_);
-  aFlight->done_(std::move(aResult));
+  requestMetrics_.OnFinished(aRequest->spec_.class_,
+                             aResult.outcome_,
+                             host_.Now() - aRequest->spec_.arrived_);
+  aRequest->done_(std::move(aResult));
 }
 
 } // namespace marjoramtally
--- a/src/programs/entryd/dispatcher.hpp
+++ b/src/programs/entryd/dispatcher.hpp
@@ -5,7 +5,7 @@
 #include "programs/entryd/dispatch_queue.hpp"
 #include "programs/entryd/hedges.hpp"
 #include "programs/entryd/report_poller.hpp"
-#include "programs/entryd/request_measures.hpp"
+#include "programs/entryd/request_metrics.hpp"
 
 namespace marjoramtally {
 
@@ -16,7 +16,7 @@
 /// those marked, which are called with it held. Router, crash guard, report
 /// poller and measures are thread-safe: they are called with the lock held or
 /// not, and never call back. Callers' callbacks, the HTTP client and traces
-/// are only called without it; of a sink, only `GivenUp` is called with it.
+/// are only called without it; of a sink, only `IsAbandoned` is called with it.
 class Dispatcher
 {
 public:
@@ -28,7 +28,7 @@
   void Submit(RequestSpec aSpec,
               UpstreamMessage aMessage,
               TraceContext aTrace,
-              ResponseJudge aJudge,
+              ResponseClassifier aClassify,
               DispatchDone aDone);
   /// @returns requests not yet finished
   [[nodiscard]] std::size_t Unfinished() const;
@@ -42,18 +42,18 @@
   {
     NextStep next_ = NextStep::Retry;
     /// Attempts to be cancelled.
-    std::vector<SentAttempt> losers_{};
+    std::vector<SentAttempt> toCancel_{};
   };
 
-  void TakeView(const ClusterViewPtr& aView);
-  [[nodiscard]] TicketId Open(const FlightPtr& aFlight);
+  void ApplyView(const ClusterViewPtr& aView);
+  [[nodiscard]] TicketId AddRequest(const InFlightRequestPtr& aRequest);
   void Refuse(TicketId aTicket,
-              const FlightPtr& aFlight,
+              const InFlightRequestPtr& aRequest,
               const AdmissionVerdict& aVerdict);
   void Expire();
   /// Dispatches what may go now, of all services or of one.
-  void Pump();
-  void PumpService(const ServiceId& aService);
+  void DispatchWaiting();
+  void DispatchService(const ServiceId& aService);
   void HedgeStragglers();
   void SendAttempt(const AttemptStart& aStart);
   /// Puts attempts on the lists of those in progress. The lock that chose
@@ -71,24 +71,25 @@
     const QuarantineVerdict& aVerdict,
     HttpResult& aResult);
   /// Tells the router how an attempt ended; the lock is held.
-  void TellRouter(const AttemptStart& aStart,
-                  AttemptEnd aEnd,
-                  const HttpResult& aResult);
+  void ReportToRouter(const AttemptStart& aStart,
+                      AttemptEnd aEnd,
+                      const HttpResult& aResult);
   /// Decides what follows an attempt, within the retry budget and the
   /// quarantine; the lock is held.
-  [[nodiscard]] NextStep NextAfter(Flight& aFlight,
-                                   AttemptEnd aEnd,
-                                   const QuarantineVerdict& aVerdict,
-                                   HttpResult& aResult);
+  [[nodiscard]] NextStep ChooseNextStep(InFlightRequest& aRequest,
+                                        AttemptEnd aEnd,
+                                        const QuarantineVerdict& aVerdict,
+                                        HttpResult& aResult);
   void Finish(TicketId aTicket,
-              const FlightPtr& aFlight,
+              const InFlightRequestPtr& aRequest,
               DispatchResult aResult);
   /// Ends a request whose fingerprint is quarantined.
   /// @returns whether it was
-  bool FinishIfQuarantined(TicketId aTicket, const FlightPtr& aFlight);
+  bool FinishIfQuarantined(TicketId aTicket,
+                           const InFlightRequestPtr& aRequest);
 
   Host& host_;
-  RequestMeasures measures_{ host_.Measures() };
+  RequestMetrics requestMetrics_{ host_.Measures() };
   Router router_;
   CrashGuard crashes_;
   ReportPoller reports_;
@@ -96,7 +97,7 @@
   DispatchQueue queue_;
   Hedges hedges_;
   RetryBudget retries_;
-  Flights flights_;
+  InFlightRequests requests_;
   std::uint64_t lastTicket_ = 0;
 };
 
--- a/src/programs/entryd/entry.cpp
+++ b/src/programs/entryd/entry.cpp
@@ -13,14 +13,14 @@
 constexpr std::string_view kCompletionPath = "/v1/completions";
 /// A caller that came before any rules were read comes back; the store is read
 /// every second by default (`DaemonSettings::refresh_`).
-constexpr const char* kComeBackSeconds = "1";
+constexpr const char* kRetryAfterSeconds = "1";
 
 HttpResponse
-RefuseUntilKnown()
+MakeNoRulesResponse()
 {
   HttpResponse response =
-    RefuseInput(503, "no_rules", "no rules are known here yet");
-  response.headers_.push_back({ "Retry-After", kComeBackSeconds });
+    MakeRefusal(503, "no_rules", "no rules are known here yet");
+  response.headers_.push_back({ "Retry-After", kRetryAfterSeconds });
   return response;
 }
 
@@ -50,7 +50,7 @@
 bool
 Entry::Busy() const
 {
-  return dispatcher_.Unfinished() > 0 || claims_.Open() > 0;
+  return dispatcher_.Unfinished() > 0 || claims_.OpenCount() > 0;
 }
 
 void
@@ -61,7 +61,7 @@
     LogEvent(LogLevel::Info,
              "refused",
              { { "path", aRequest.path_ }, { "why", "no rules yet" } });
-    aReply->Send(RefuseUntilKnown());
+    aReply->Send(MakeNoRulesResponse());
   } else if (aRequest.path_.starts_with(kServicePath)) {
     ServeCall(aRequest, aReply);
   } else if (aRequest.path_ == kCompletionPath) {
@@ -70,7 +70,7 @@
     trainers_.Serve(aRequest, TraceOf(aRequest), aReply);
   } else {
     aReply->Send(
-      RefuseInput(404, "not_found", "no route for " + aRequest.path_));
+      MakeRefusal(404, "not_found", "no route for " + aRequest.path_));
   }
 }
 
@@ -118,7 +118,7 @@
 void
 Entry::SubmitLive(RequestSpec aSpec,
                   UpstreamMessage aMessage,
-                  ResponseJudge aJudge,
+                  ResponseClassifier aClassify,
                   const HttpRequest& aRequest,
                   const HttpReplyPtr& aReply,
                   bool aStream)
@@ -131,7 +131,7 @@
   span.attributes_["service"] = aSpec.service_.Get();
   auto live = std::make_shared<LiveRequest>(LiveRequest{ std::move(aSpec),
                                                          std::move(aMessage),
-                                                         std::move(aJudge),
+                                                         std::move(aClassify),
                                                          std::move(span),
                                                          aReply,
                                                          nullptr });
@@ -144,7 +144,7 @@
     RunLive(live);
     return;
   }
-  claims_.Ask(live->spec_, [this, live](const ClaimVerdict& aVerdict) {
+  claims_.Claim(live->spec_, [this, live](const ClaimVerdict& aVerdict) {
     if (aVerdict.answer_ == ClaimAnswer::Run) {
       RunLive(live);
     } else {
@@ -158,23 +158,25 @@
 {
   const bool claimed =
     !aLive->spec_.idempotent_ && !aLive->spec_.key_.Get().empty();
-  dispatcher_.Submit(
-    aLive->spec_,
-    std::move(aLive->message_),
-    aLive->span_.context_,
-    std::move(aLive->judge_),
-    [this, aLive, claimed](DispatchResult aResult) {
-      const Outcome outcome = aResult.outcome_;
-      HttpResponse response = MakeResponse(std::move(aResult));
-      if (!claimed) {
-        AnswerLive(*aLive, std::move(response));
-        return;
-      }
-      const int status = response.status_;
-      claims_.End(aLive->spec_, outcome, status, [this, aLive, response] {
-        AnswerLive(*aLive, response);
-      });
-    });
+  dispatcher_.Submit(aLive->spec_,
+                     std::move(aLive->message_),
+                     aLive->span_.context_,
+                     std::move(aLive->classify_),
+                     [this, aLive, claimed](DispatchResult aResult) {
+                       const Outcome outcome = aResult.outcome_;
+                       HttpResponse response = MakeResponse(std::move(aResult));
+                       if (!claimed) {
+                         AnswerLive(*aLive, std::move(response));
+                         return;
+                       }
+                       const int status = response.status_;
+                       claims_.RecordOutcome(aLive->spec_,
+                                             outcome,
+                                             status,
+                                             [this, aLive, response] {
+                                               AnswerLive(*aLive, response);
+                                             });
+                     });
 }
 
 void
@@ -198,7 +200,7 @@
   auto spec = MakeSpec(aRequest, ServiceId{ rest.substr(0, slash) });
   if (!spec) {
     const bool missing = spec.error().kind_ == ErrorKind::NotFound;
-    aReply->Send(RefuseInput(missing ? 404 : 400,
+    aReply->Send(MakeRefusal(missing ? 404 : 400,
                              ToString(spec.error().kind_),
                              spec.error().message_));
     return;
@@ -210,11 +212,11 @@
   if (!aRequest.query_.empty()) {
     message.target_ += "?" + aRequest.query_;
   }
-  message.headers_ = PassedHeaders(aRequest.headers_);
+  message.headers_ = EndToEndHeaders(aRequest.headers_);
   message.body_ = aRequest.body_;
   SubmitLive(std::move(spec).value(),
              std::move(message),
-             JudgePlain,
+             ClassifyPlainResponse,
              aRequest,
              aReply,
              false);
@@ -223,36 +225,36 @@
 void
 Entry::ServeCompletion(const HttpRequest& aRequest, const HttpReplyPtr& aReply)
 {
-  const auto ask = ParseCompletionRequest(aRequest.body_);
-  if (!ask) {
-    aReply->Send(RefuseInput(400, "bad_input", ask.error().message_));
+  const auto params = ParseCompletionRequest(aRequest.body_);
+  if (!params) {
+    aReply->Send(MakeRefusal(400, "bad_input", params.error().message_));
     return;
   }
   const auto rules = host_.ClusterState().View()->rules_;
-  const auto service = FindModelService(*rules, ask.value().model_);
+  const auto service = FindModelService(*rules, params.value().model_);
   if (!service) {
-    aReply->Send(RefuseInput(
-      404, "not_found", "unknown model '" + ask.value().model_ + "'"));
+    aReply->Send(MakeRefusal(
+      404, "not_found", "unknown model '" + params.value().model_ + "'"));
     return;
   }
   auto spec = MakeSpec(aRequest, *service);
   if (!spec) {
     aReply->Send(
-      RefuseInput(400, ToString(spec.error().kind_), spec.error().message_));
+      MakeRefusal(400, ToString(spec.error().kind_), spec.error().message_));
     return;
   }
-  spec.value().model_ = ask.value().model_;
-  spec.value().outputTokens_ = ask.value().maxTokens_;
+  spec.value().model_ = params.value().model_;
+  spec.value().outputTokens_ = params.value().maxTokens_;
   UpstreamMessage message{ "POST",
                            std::string(kCompletionPath),
-                           PassedHeaders(aRequest.headers_),
+                           EndToEndHeaders(aRequest.headers_),
                            aRequest.body_ };
   SubmitLive(std::move(spec).value(),
              std::move(message),
-             JudgeCompletion,
+             ClassifyCompletion,
              aRequest,
              aReply,
-             ask.value().stream_);
+             params.value().stream_);
 }
 
 void
@@ -308,7 +310,7 @@
       done(ReadCompletion(aResult));
     };
   dispatcher_.Submit(
-    std::move(spec), std::move(message), context, JudgeCompletion, done);
+    std::move(spec), std::move(message), context, ClassifyCompletion, done);
 }
 
 } // namespace marjoramtally
--- a/src/programs/entryd/entry.hpp
+++ b/src/programs/entryd/entry.hpp
@@ -25,7 +25,7 @@
   {
     RequestSpec spec_;
     UpstreamMessage message_;
-    ResponseJudge judge_;
+    ResponseClassifier classify_;
     Span span_;
     HttpReplyPtr reply_;
     /// Set if the answer is streamed.
@@ -45,7 +45,7 @@
                                              const ServiceId& aService);
   void SubmitLive(RequestSpec aSpec,
                   UpstreamMessage aMessage,
-                  ResponseJudge aJudge,
+                  ResponseClassifier aClassify,
                   const HttpRequest& aRequest,
                   const HttpReplyPtr& aReply,
                   bool aStream);
--- a/src/programs/entryd/hedges.cpp
+++ b/src/programs/entryd/hedges.cpp
@@ -8,34 +8,34 @@
 constexpr std::size_t kHedgesPerReview = 4;
 
 bool
-MayHedge(const Flight& aFlight)
+MayHedge(const InFlightRequest& aRequest)
 {
-  return aFlight.sent_.size() == 1 && !aFlight.won_ &&
-         aFlight.spec_.idempotent_ && !aFlight.message_.sink_;
+  return aRequest.sent_.size() == 1 && !aRequest.answered_ &&
+         aRequest.spec_.idempotent_ && !aRequest.message_.sink_;
 }
 
 } // namespace
 
 void
 Hedges::OnStarted(TicketId aTicket,
-                  const Flight& aFlight,
+                  const InFlightRequest& aRequest,
                   double aExpectedTokens,
                   TimePoint aNow)
 {
-  if (aFlight.spec_.class_ == RequestClass::Trainer &&
-      aFlight.sent_.size() == 1) {
+  if (aRequest.spec_.class_ == RequestClass::Trainer &&
+      aRequest.sent_.size() == 1) {
     policy_.OnStarted({ aTicket, 0, aExpectedTokens, false }, aNow);
   }
 }
 
 void
 Hedges::OnDecided(TicketId aTicket,
-                  const Flight& aFlight,
+                  const InFlightRequest& aRequest,
                   std::optional<std::uint64_t> aTokens,
                   TimePoint aNow)
 {
-  for (const SentAttempt& loser : aFlight.sent_) {
-    policy_.OnWasted(policy_.TokensIn(aNow - loser.at_));
+  for (const SentAttempt& unneeded : aRequest.sent_) {
+    policy_.OnWasted(policy_.TokensIn(aNow - unneeded.at_));
   }
   policy_.OnEnded(aTicket,
                   aTokens ? std::optional(static_cast<double>(*aTokens))
@@ -44,31 +44,33 @@
 }
 
 std::vector<AttemptStart>
-Hedges::Review(const Flights& aFlights, bool aIdle, TimePoint aNow)
+Hedges::Review(const InFlightRequests& aRequests, bool aIdle, TimePoint aNow)
 {
   std::vector<AttemptStart> starts;
   const std::size_t idle = aIdle ? kHedgesPerReview : 0;
-  for (const StragglerAction& late : policy_.Review(aNow, idle)) {
-    const auto flight = aFlights.find(late.ticket_);
-    if (flight == aFlights.end() || !MayHedge(*flight->second)) {
+  for (const StragglerAction& straggler : policy_.Review(aNow, idle)) {
+    const auto request = aRequests.find(straggler.ticket_);
+    if (request == aRequests.end() || !MayHedge(*request->second)) {
       continue;
     }
-    if (UpstreamPtr upstream = Pick(*flight->second, aNow)) {
-      router_.OnSent(upstream->id_, flight->second->spec_, aNow);
-      starts.push_back({ late.ticket_, flight->second, std::move(upstream) });
+    if (UpstreamPtr upstream = Pick(*request->second, aNow)) {
+      router_.OnSent(upstream->id_, request->second->spec_, aNow);
+      starts.push_back(
+        { straggler.ticket_, request->second, std::move(upstream) });
     }
   }
   return starts;
 }
 
 UpstreamPtr
-Hedges::Pick(const Flight& aFlight, TimePoint aNow)
+Hedges::Pick(const InFlightRequest& aRequest, TimePoint aNow)
 {
-  const RequestSpec& spec = aFlight.spec_;
-  const UpstreamId& slow = aFlight.sent_.front().upstream_;
-  std::vector<UpstreamId> avoid = aFlight.tried_;
+  const RequestSpec& spec = aRequest.spec_;
+  const UpstreamId& slow = aRequest.sent_.front().upstream_;
+  std::vector<UpstreamId> avoid = aRequest.tried_;
   avoid.push_back(slow);
-  UpstreamPtr upstream = router_.Pick(spec, crashes_.Avoid(spec, avoid), aNow);
+  UpstreamPtr upstream =
+    router_.Pick(spec, crashes_.UpstreamsToAvoid(spec, avoid), aNow);
   if (!upstream || upstream->id_ == slow ||
       !crashes_.TryStart(spec, upstream->id_)) {
     return nullptr;
--- a/src/programs/entryd/hedges.hpp
+++ b/src/programs/entryd/hedges.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "programs/entryd/crash_guard.hpp"
-#include "programs/entryd/flight.hpp"
+#include "programs/entryd/in_flight_request.hpp"
 
 namespace marjoramtally {
 
@@ -20,13 +20,13 @@
 
   /// An attempt was put on the list of those in progress.
   void OnStarted(TicketId aTicket,
-                 const Flight& aFlight,
+                 const InFlightRequest& aRequest,
                  double aExpectedTokens,
                  TimePoint aNow);
   /// A request was decided; its attempts still in progress are wasted.
   /// @param aTokens tokens generated, if the answer was whole
   void OnDecided(TicketId aTicket,
-                 const Flight& aFlight,
+                 const InFlightRequest& aRequest,
                  std::optional<std::uint64_t> aTokens,
                  TimePoint aNow);
   /// A whole answer came after another.
@@ -36,13 +36,13 @@
   }
   /// @param aIdle whether upstreams have capacity that nothing waits for
   /// @returns second attempts to send now; the router counts them as sent
-  [[nodiscard]] std::vector<AttemptStart> Review(const Flights& aFlights,
-                                                 bool aIdle,
-                                                 TimePoint aNow);
+  [[nodiscard]] std::vector<AttemptStart>
+  Review(const InFlightRequests& aRequests, bool aIdle, TimePoint aNow);
 
 private:
   /// @returns where to send a second attempt, or null
-  [[nodiscard]] UpstreamPtr Pick(const Flight& aFlight, TimePoint aNow);
+  [[nodiscard]] UpstreamPtr Pick(const InFlightRequest& aRequest,
+                                 TimePoint aNow);
 
   Router& router_;
   CrashGuard& crashes_;
--- a/src/programs/entryd/flight.cpp
+++ b/src/programs/entryd/in_flight_request.cpp
@@ -1,4 +1,4 @@
-#include "programs/entryd/flight.hpp"
+#include "programs/entryd/in_flight_request.hpp"
 
 #include <charconv>
 
@@ -7,27 +7,27 @@
 namespace {
 
 /// Attempts without a caller's deadline end after this long.
-constexpr auto kLongestAttempt = std::chrono::minutes(30);
-constexpr auto kShortestAttempt = std::chrono::milliseconds(1);
+constexpr auto kMaxAttemptTime = std::chrono::minutes(30);
+constexpr auto kMinAttemptTime = std::chrono::milliseconds(1);
 
 Duration
 TimeLeft(const RequestSpec& aSpec, TimePoint aNow)
 {
-  const Duration left = aSpec.deadline_ == kNever ? Duration(kLongestAttempt)
+  const Duration left = aSpec.deadline_ == kNever ? Duration(kMaxAttemptTime)
                                                   : aSpec.deadline_ - aNow;
-  return std::max<Duration>(left, kShortestAttempt);
+  return std::max<Duration>(left, kMinAttemptTime);
 }
 
 } // namespace
 
 AttemptEnd
-JudgeAttempt(const Flight& aFlight, HttpResult& aResult)
+ClassifyAttempt(const InFlightRequest& aRequest, HttpResult& aResult)
 {
-  if (aFlight.message_.sink_) {
-    return aFlight.message_.sink_->Judge(aResult);
+  if (aRequest.message_.sink_) {
+    return aRequest.message_.sink_->Classify(aResult);
   }
   if (aResult.end_ == HttpEnd::Whole) {
-    return aFlight.judge_(aResult.response_);
+    return aRequest.classify_(aResult.response_);
   }
   return aResult.end_ == HttpEnd::NotSent ? AttemptEnd::NotRun
                                           : AttemptEnd::MaybeRun;
@@ -49,12 +49,12 @@
 }
 
 SentAttempt
-TakeSent(Flight& aFlight, const UpstreamId& aUpstream)
+RemoveSent(InFlightRequest& aRequest, const UpstreamId& aUpstream)
 {
-  for (auto it = aFlight.sent_.begin(); it != aFlight.sent_.end(); ++it) {
+  for (auto it = aRequest.sent_.begin(); it != aRequest.sent_.end(); ++it) {
     if (it->upstream_ == aUpstream) {
       SentAttempt sent = std::move(*it);
-      aFlight.sent_.erase(it);
+      aRequest.sent_.erase(it);
       return sent;
     }
   }
@@ -62,38 +62,38 @@
 }
 
 bool
-Decides(Flight& aFlight,
-        const UpstreamId& aUpstream,
-        AttemptEnd aEnd,
-        TimePoint aNow)
+RecordAttemptEnd(InFlightRequest& aRequest,
+                 const UpstreamId& aUpstream,
+                 AttemptEnd aEnd,
+                 TimePoint aNow)
 {
-  if (aFlight.won_) {
+  if (aRequest.answered_) {
     return false;
   }
-  aFlight.tried_.push_back(aUpstream);
-  aFlight.won_ = aEnd == AttemptEnd::Complete;
-  if (!aFlight.won_ && !aFlight.sent_.empty()) {
+  aRequest.tried_.push_back(aUpstream);
+  aRequest.answered_ = aEnd == AttemptEnd::Complete;
+  if (!aRequest.answered_ && !aRequest.sent_.empty()) {
     // The other attempt goes on; this one counts as made.
-    static_cast<void>(aFlight.attempts_.RecordEnd(aFlight.spec_, aEnd, aNow));
+    static_cast<void>(aRequest.attempts_.RecordEnd(aRequest.spec_, aEnd, aNow));
     return false;
   }
   return true;
 }
 
 HttpCall
-MakeCall(const Flight& aFlight,
+MakeCall(const InFlightRequest& aRequest,
          const UpstreamView& aUpstream,
          const TraceContext& aTrace,
          TimePoint aNow)
 {
   HttpCall call;
-  call.method_ = aFlight.message_.method_;
-  call.url_ = "http://" + aUpstream.address_ + aFlight.message_.target_;
-  call.headers_ = aFlight.message_.headers_;
+  call.method_ = aRequest.message_.method_;
+  call.url_ = "http://" + aUpstream.address_ + aRequest.message_.target_;
+  call.headers_ = aRequest.message_.headers_;
   call.headers_.push_back({ "traceparent", aTrace.Format() });
-  call.body_ = aFlight.message_.body_;
-  call.atMostOnce_ = !aFlight.spec_.idempotent_;
-  call.timeout_ = TimeLeft(aFlight.spec_, aNow);
+  call.body_ = aRequest.message_.body_;
+  call.atMostOnce_ = !aRequest.spec_.idempotent_;
+  call.timeout_ = TimeLeft(aRequest.spec_, aNow);
   call.headers_.push_back(
     { std::string(kDeadlineHeader),
       FormatDuration(std::chrono::milliseconds(WholeMillis(call.timeout_))) });
--- a/src/programs/entryd/flight.hpp
+++ b/src/programs/entryd/in_flight_request.hpp
@@ -21,11 +21,11 @@
 
 /// A request that is not finished. What `Submit` was given does not change;
 /// the rest is written under the dispatcher's lock.
-struct Flight
+struct InFlightRequest
 {
   RequestSpec spec_;
   UpstreamMessage message_;
-  ResponseJudge judge_;
+  ResponseClassifier classify_;
   DispatchDone done_;
   Attempts attempts_;
   std::vector<UpstreamId> tried_;
@@ -34,23 +34,23 @@
   /// Attempts in progress; more than one if it is hedged.
   std::vector<SentAttempt> sent_{};
   /// Whether a whole answer was taken; later ones are dropped.
-  bool won_ = false;
+  bool answered_ = false;
 };
 
-using FlightPtr = std::shared_ptr<Flight>;
-using Flights = std::unordered_map<TicketId, FlightPtr>;
+using InFlightRequestPtr = std::shared_ptr<InFlightRequest>;
+using InFlightRequests = std::unordered_map<TicketId, InFlightRequestPtr>;
 
 /// An attempt that is to be sent.
 struct AttemptStart
 {
   TicketId ticket_;
-  FlightPtr flight_;
+  InFlightRequestPtr request_;
   UpstreamPtr upstream_;
 };
 
 /// @returns how an attempt ended; may set a body for the accounting
 [[nodiscard]] AttemptEnd
-JudgeAttempt(const Flight& aFlight, HttpResult& aResult);
+ClassifyAttempt(const InFlightRequest& aRequest, HttpResult& aResult);
 
 /// @returns tokens that a completion says it generated; 0 if it is none
 [[nodiscard]] std::uint64_t
@@ -58,19 +58,19 @@
 
 /// Takes an attempt off the list of those in progress.
 [[nodiscard]] SentAttempt
-TakeSent(Flight& aFlight, const UpstreamId& aUpstream);
+RemoveSent(InFlightRequest& aRequest, const UpstreamId& aUpstream);
 
 /// Records the end of an attempt that was taken off the list.
 /// @returns whether it decides the request
 [[nodiscard]] bool
-Decides(Flight& aFlight,
-        const UpstreamId& aUpstream,
-        AttemptEnd aEnd,
-        TimePoint aNow);
+RecordAttemptEnd(InFlightRequest& aRequest,
+                 const UpstreamId& aUpstream,
+                 AttemptEnd aEnd,
+                 TimePoint aNow);
 
 /// @returns the call that makes an attempt
 [[nodiscard]] HttpCall
-MakeCall(const Flight& aFlight,
+MakeCall(const InFlightRequest& aRequest,
          const UpstreamView& aUpstream,
          const TraceContext& aTrace,
          TimePoint aNow);
--- a/src/programs/entryd/live_messages.cpp
+++ b/src/programs/entryd/live_messages.cpp
@@ -6,7 +6,7 @@
 
 /// Headers that belong to one connection and are not passed on.
 bool
-IsHopHeader(std::string_view aName)
+IsHopByHopHeader(std::string_view aName)
 {
   static const HttpHeaders kHop{
     { "connection", "" }, { "content-length", "" }, { "transfer-encoding", "" },
@@ -18,10 +18,10 @@
 }
 
 int
-FailureStatus(const DispatchResult& aResult)
+FailureStatusCode(const DispatchResult& aResult)
 {
   if (aResult.outcome_ == Outcome::Unknown) {
-    return aResult.late_ ? 504 : 502;
+    return aResult.deadlineMissed_ ? 504 : 502;
   }
   return 503;
 }
@@ -38,7 +38,7 @@
 } // namespace
 
 AttemptEnd
-JudgePlain(const HttpResponse& aResponse)
+ClassifyPlainResponse(const HttpResponse& aResponse)
 {
   const auto outcome = FindHeader(aResponse.headers_, kOutcomeHeader);
   const bool refused = outcome == ToString(Outcome::RefusedNotRun);
@@ -46,11 +46,11 @@
 }
 
 HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders)
+EndToEndHeaders(const HttpHeaders& aHeaders)
 {
   HttpHeaders passed;
   for (const HttpHeader& header : aHeaders) {
-    if (!IsHopHeader(header.name_)) {
+    if (!IsHopByHopHeader(header.name_)) {
       passed.push_back(header);
     }
   }
@@ -63,11 +63,11 @@
   HttpResponse response;
   if (aResult.outcome_ == Outcome::Completed) {
     response.status_ = aResult.response_.status_;
-    response.headers_ = PassedHeaders(aResult.response_.headers_);
+    response.headers_ = EndToEndHeaders(aResult.response_.headers_);
     response.body_ = std::move(aResult.response_.body_);
   } else {
     response = ErrorResponse(
-      FailureStatus(aResult), ToString(aResult.outcome_), aResult.reason_);
+      FailureStatusCode(aResult), ToString(aResult.outcome_), aResult.reason_);
     response.headers_.push_back(
       { "Retry-After", FormatRetryAfter(aResult.retryAfter_) });
   }
@@ -77,7 +77,7 @@
 }
 
 HttpResponse
-RefuseInput(int aStatus, std::string_view aKind, std::string_view aMessage)
+MakeRefusal(int aStatus, std::string_view aKind, std::string_view aMessage)
 {
   HttpResponse response = ErrorResponse(aStatus, aKind, aMessage);
   response.headers_.push_back(
--- a/src/programs/entryd/live_messages.hpp
+++ b/src/programs/entryd/live_messages.hpp
@@ -7,11 +7,11 @@
 
 /// A plain service's answer is whole unless it says that it did not run.
 [[nodiscard]] AttemptEnd
-JudgePlain(const HttpResponse& aResponse);
+ClassifyPlainResponse(const HttpResponse& aResponse);
 
 /// @returns the headers that do not belong to one connection or hop
 [[nodiscard]] HttpHeaders
-PassedHeaders(const HttpHeaders& aHeaders);
+EndToEndHeaders(const HttpHeaders& aHeaders);
 
 /// @returns the caller's response, with the outcome in its header
 [[nodiscard]] HttpResponse
@@ -19,7 +19,7 @@
 
 /// @returns a refusal of a request that was not run
 [[nodiscard]] HttpResponse
-RefuseInput(int aStatus, std::string_view aKind, std::string_view aMessage);
+MakeRefusal(int aStatus, std::string_view aKind, std::string_view aMessage);
 
 /// @returns the trace that a request belongs to
 [[nodiscard]] TraceContext
--- a/src/programs/entryd/report_poller.cpp
+++ b/src/programs/entryd/report_poller.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr auto kReportPeriod = std::chrono::milliseconds(50);
+constexpr auto kPollPeriod = std::chrono::milliseconds(50);
 constexpr auto kReportTimeout = std::chrono::seconds(1);
 
 Result<UpstreamReport>
@@ -40,7 +40,7 @@
 void
 ReportPoller::Start()
 {
-  host_.TimerQueue().Every(kReportPeriod, [this] { PollDue(); });
+  host_.TimerQueue().Every(kPollPeriod, [this] { PollDue(); });
 }
 
 void
@@ -72,12 +72,12 @@
   call.timeout_ = kReportTimeout;
   host_.Http().Send(std::move(call),
                     [this, id = aUpstream.id_](const HttpResult& aResult) {
-                      TakeReport(id, aResult);
+                      OnReport(id, aResult);
                     });
 }
 
 void
-ReportPoller::TakeReport(const UpstreamId& aId, const HttpResult& aResult)
+ReportPoller::OnReport(const UpstreamId& aId, const HttpResult& aResult)
 {
   if (aResult.end_ != HttpEnd::Whole) {
     return;
--- a/src/programs/entryd/report_poller.hpp
+++ b/src/programs/entryd/report_poller.hpp
@@ -22,7 +22,7 @@
 private:
   void PollDue();
   void Poll(const UpstreamView& aUpstream);
-  void TakeReport(const UpstreamId& aId, const HttpResult& aResult);
+  void OnReport(const UpstreamId& aId, const HttpResult& aResult);
 
   Host& host_;
   Router& router_;
--- a/src/programs/entryd/request_measures.hpp
+++ b/src/programs/entryd/request_metrics.hpp
@@ -9,23 +9,23 @@
 namespace marjoramtally {
 
 /// Measures of finished requests. Thread-safe.
-class RequestMeasures
+class RequestMetrics
 {
 public:
   /// @param aMetrics outlives the measures
-  explicit RequestMeasures(Metrics& aMetrics);
+  explicit RequestMetrics(Metrics& aMetrics);
   /// Counts one finished request.
   /// @param aTook from its arrival to its outcome
-  void Finished(RequestClass aClass, Outcome aOutcome, Duration aTook);
+  void OnFinished(RequestClass aClass, Outcome aOutcome, Duration aTook);
 
 private:
   static constexpr std::size_t kOutcomes = 3;
-  struct OfClass
+  struct ClassMetrics
   {
     std::array<Counter*, kOutcomes> outcomes_{};
     Summary* millis_ = nullptr;
   };
-  std::array<OfClass, kRequestClasses> classes_;
+  std::array<ClassMetrics, kRequestClasses> classes_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/entryd/stream_relay.cpp
+++ b/src/programs/entryd/stream_relay.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMostErrorBytes = 64U * 1024U;
+constexpr std::size_t kMaxErrorBytes = 64U * 1024U;
 constexpr int kOk = 200;
 
 } // namespace
@@ -80,7 +80,7 @@
 StreamRelay::OnData(std::string_view aBytes)
 {
   if (status_ != kOk) {
-    const std::size_t room = kMostErrorBytes - errorBody_.size();
+    const std::size_t room = kMaxErrorBytes - errorBody_.size();
     errorBody_ += aBytes.substr(0, room);
     return true;
   }
@@ -101,8 +101,8 @@
 void
 StreamRelay::Write(std::string aEvents)
 {
-  if (!begun_) {
-    begun_ = true;
+  if (!headSent_) {
+    headSent_ = true;
     reply_->Begin(kOk, { { "Content-Type", "text/event-stream" } });
   }
   const std::size_t bytes = aEvents.size();
@@ -139,7 +139,7 @@
 }
 
 AttemptEnd
-StreamRelay::Judge(HttpResult& aResult)
+StreamRelay::Classify(HttpResult& aResult)
 {
   {
     const std::lock_guard lock(mutex_);
@@ -158,11 +158,11 @@
     return AttemptEnd::MaybeRun;
   }
   aResult.response_.body_ = errorBody_;
-  return JudgeCompletion(aResult.response_);
+  return ClassifyCompletion(aResult.response_);
 }
 
 bool
-StreamRelay::GivenUp() const
+StreamRelay::IsAbandoned() const
 {
   const std::lock_guard lock(mutex_);
   return callerLost_ || stream_.Contradicted();
@@ -171,7 +171,7 @@
 void
 StreamRelay::Finish(HttpResponse aResponse)
 {
-  if (!begun_) {
+  if (!headSent_) {
     reply_->Send(std::move(aResponse));
     return;
   }
--- a/src/programs/entryd/stream_relay.hpp
+++ b/src/programs/entryd/stream_relay.hpp
@@ -19,8 +19,8 @@
 
   void Prepare(HttpCall& aCall) override;
   void OnSent(HttpCallId aCall) override;
-  [[nodiscard]] AttemptEnd Judge(HttpResult& aResult) override;
-  [[nodiscard]] bool GivenUp() const override;
+  [[nodiscard]] AttemptEnd Classify(HttpResult& aResult) override;
+  [[nodiscard]] bool IsAbandoned() const override;
   /// Ends the stream. If none of it was sent, the response is; else, if it
   /// did not complete, an error event ends it, and no final event.
   void Finish(HttpResponse aResponse);
@@ -37,7 +37,7 @@
   CompletionStream stream_;
   int status_ = 0;
   std::string errorBody_;
-  bool begun_ = false;
+  bool headSent_ = false;
   mutable std::mutex mutex_;
   SendWindow window_;
   bool callerLost_ = false;
--- a/src/programs/entryd/trainer_api.cpp
+++ b/src/programs/entryd/trainer_api.cpp
@@ -16,19 +16,19 @@
 constexpr std::uint32_t kMaxSamplesPerTake = 4096;
 constexpr std::uint32_t kMaxGroupSize = 1024;
 constexpr std::uint32_t kMaxTokens = 1U << 20U;
-constexpr std::size_t kMaxPeersAsked = 4;
+constexpr std::size_t kMaxPeersTried = 4;
 /// Time for an owner to answer; it may have to ask the store.
-constexpr auto kOwnerGrace = std::chrono::seconds(3);
+constexpr auto kOwnerTimeout = std::chrono::seconds(3);
 /// Time for an owner to answer a take beyond the wait that was asked for.
 /// Short, as the owner may be paused while another has taken over.
-constexpr auto kTakeGrace = std::chrono::seconds(1);
+constexpr auto kTakeTimeoutMargin = std::chrono::seconds(1);
 
 /// A number of a JSON object within bounds; throws a message otherwise.
 std::uint64_t
-Bounded(const Json& aBody,
-        const char* aName,
-        std::uint64_t aMin,
-        std::uint64_t aMax)
+ReadBounded(const Json& aBody,
+            const char* aName,
+            std::uint64_t aMin,
+            std::uint64_t aMax)
 {
   const auto value = aBody.at(aName).get<std::uint64_t>();
   if (value < aMin || value > aMax) {
@@ -40,15 +40,15 @@
 }
 
 TrainerOperation
-ReadOpen(const Json& aBody)
+ParseOpen(const Json& aBody)
 {
   StepSpec spec;
-  spec.step_ = StepId{ Bounded(aBody, "step", 0, UINT64_MAX) };
-  spec.version_ = WeightVersion{ Bounded(aBody, "version", 0, UINT64_MAX) };
-  spec.groupSize_ =
-    static_cast<std::uint32_t>(Bounded(aBody, "group_size", 1, kMaxGroupSize));
+  spec.step_ = StepId{ ReadBounded(aBody, "step", 0, UINT64_MAX) };
+  spec.version_ = WeightVersion{ ReadBounded(aBody, "version", 0, UINT64_MAX) };
+  spec.groupSize_ = static_cast<std::uint32_t>(
+    ReadBounded(aBody, "group_size", 1, kMaxGroupSize));
   spec.maxTokens_ =
-    static_cast<std::uint32_t>(Bounded(aBody, "max_tokens", 1, kMaxTokens));
+    static_cast<std::uint32_t>(ReadBounded(aBody, "max_tokens", 1, kMaxTokens));
   spec.prompts_ = aBody.at("prompts").get<std::vector<std::string>>();
   if (spec.prompts_.empty() ||
       spec.prompts_.size() * spec.groupSize_ > IndexSet::kMaxIndex) {
@@ -60,47 +60,47 @@
 }
 
 TrainerOperation
-ReadTake(const Json& aBody)
+ParseTake(const Json& aBody)
 {
   TakeSamples take;
-  take.spec_.step_ = StepId{ Bounded(aBody, "step", 0, UINT64_MAX) };
+  take.spec_.step_ = StepId{ ReadBounded(aBody, "step", 0, UINT64_MAX) };
   take.spec_.version_ =
-    WeightVersion{ Bounded(aBody, "version", 0, UINT64_MAX) };
+    WeightVersion{ ReadBounded(aBody, "version", 0, UINT64_MAX) };
   const auto held = IndexSet::Parse(aBody.at("held").get<std::string>());
   if (!held) {
     throw std::invalid_argument("'held' must be ranges such as 0-3,8");
   }
   take.spec_.held_ = *held;
   if (aBody.contains("most")) {
-    take.spec_.maxSamples_ =
-      static_cast<std::uint32_t>(Bounded(aBody, "most", 1, kMaxSamplesPerTake));
+    take.spec_.maxSamples_ = static_cast<std::uint32_t>(
+      ReadBounded(aBody, "most", 1, kMaxSamplesPerTake));
   }
   if (aBody.contains("take")) {
-    take.spec_.number_ = Bounded(aBody, "take", 0, UINT64_MAX);
+    take.spec_.number_ = ReadBounded(aBody, "take", 0, UINT64_MAX);
   }
   take.spec_.completeGroups_ = aBody.value("whole_groups", false);
   if (aBody.contains("wait_ms")) {
-    take.wait_ =
-      std::chrono::milliseconds(Bounded(aBody, "wait_ms", 0, kMaxWaitMillis));
+    take.wait_ = std::chrono::milliseconds(
+      ReadBounded(aBody, "wait_ms", 0, kMaxWaitMillis));
   }
   return take;
 }
 
 TrainerOperation
-ReadAnnounce(const Json& aBody)
+ParseAnnounce(const Json& aBody)
 {
   return AnnounceVersion{ WeightVersion{
-    Bounded(aBody, "version", 1, UINT64_MAX) } };
+    ReadBounded(aBody, "version", 1, UINT64_MAX) } };
 }
 
 TrainerOperation
-ReadClose(const Json& aBody)
+ParseClose(const Json& aBody)
 {
-  return CloseStep{ StepId{ Bounded(aBody, "step", 0, UINT64_MAX) } };
+  return CloseStep{ StepId{ ReadBounded(aBody, "step", 0, UINT64_MAX) } };
 }
 
 TrainerOperation
-ReadProgress(const Json& /*aBody*/)
+ParseProgress(const Json& /*aBody*/)
 {
   return GetProgress{};
 }
@@ -109,19 +109,19 @@
 struct OperationRoute
 {
   std::string_view name_;
-  TrainerOperation (*read_)(const Json&);
+  TrainerOperation (*parse_)(const Json&);
 };
 
 constexpr std::array<OperationRoute, 5> kRoutes{ {
-  { "open", ReadOpen },
-  { "take", ReadTake },
-  { "announce", ReadAnnounce },
-  { "close", ReadClose },
-  { "progress", ReadProgress },
+  { "open", ParseOpen },
+  { "take", ParseTake },
+  { "announce", ParseAnnounce },
+  { "close", ParseClose },
+  { "progress", ParseProgress },
 } };
 
 Result<TrainerRequest>
-ReadRequest(const HttpRequest& aRequest)
+ParseRequest(const HttpRequest& aRequest)
 {
   const std::string rest = aRequest.path_.substr(kPrefix.size());
   const std::size_t slash = rest.find('/');
@@ -133,7 +133,7 @@
     }
     try {
       return TrainerRequest{ TrainerId{ rest.substr(0, slash) },
-                             route.read_(Json::parse(aRequest.body_)) };
+                             route.parse_(Json::parse(aRequest.body_)) };
     } catch (const std::exception& failure) {
       return Error{ ErrorKind::BadInput,
                     "body of " + name + ": " + failure.what() };
@@ -220,7 +220,7 @@
                   const TraceContext& aTrace,
                   const HttpReplyPtr& aReply)
 {
-  auto request = ReadRequest(aRequest);
+  auto request = ParseRequest(aRequest);
   if (!request) {
     aReply->Send(FormatError(request.error()));
     return;
@@ -239,35 +239,35 @@
   }
   auto forward = std::make_shared<Forward>();
   forward->request_ = std::move(request).value();
-  forward->timeout_ = kOwnerGrace;
+  forward->timeout_ = kOwnerTimeout;
   if (const auto* take =
         std::get_if<TakeSamples>(&forward->request_.operation_)) {
-    forward->timeout_ = kTakeGrace + take->wait_;
+    forward->timeout_ = kTakeTimeoutMargin + take->wait_;
   }
   forward->span_ = StartSpan(aTrace, "trainer");
   forward->span_.attributes_["trainer"] = trainer.Get();
   forward->reply_ = aReply;
-  AskNext(forward, "no control instance is known");
+  TryNextPeer(forward, "no control instance is known");
 }
 
 std::optional<std::string>
 TrainerApi::ChoosePeer(const Forward& aForward) const
 {
   const auto view = host_.ClusterState().View();
-  const auto asked = [&](const std::string& aPeer) {
-    return std::find(aForward.asked_.begin(), aForward.asked_.end(), aPeer) !=
-           aForward.asked_.end();
+  const auto tried = [&](const std::string& aPeer) {
+    return std::find(aForward.tried_.begin(), aForward.tried_.end(), aPeer) !=
+           aForward.tried_.end();
   };
   const auto owner =
     view->owners_.find("trainer/" + aForward.request_.trainer_.Get());
-  if (owner != view->owners_.end() && !asked(owner->second.rpc_)) {
+  if (owner != view->owners_.end() && !tried(owner->second.rpc_)) {
     return owner->second.rpc_;
   }
   for (const bool sameZone : { true, false }) {
     for (const auto& [id, instance] : view->instances_) {
-      const bool near = instance.zone_.Get() == host_.Settings().zone_;
-      if (instance.role_ == "control" && near == sameZone &&
-          !asked(instance.rpc_)) {
+      const bool inThisZone = instance.zone_.Get() == host_.Settings().zone_;
+      if (instance.role_ == "control" && inThisZone == sameZone &&
+          !tried(instance.rpc_)) {
         return instance.rpc_;
       }
     }
@@ -276,9 +276,9 @@
 }
 
 void
-TrainerApi::AskNext(const ForwardPtr& aForward, const std::string& aFailure)
+TrainerApi::TryNextPeer(const ForwardPtr& aForward, const std::string& aFailure)
 {
-  const auto peer = aForward->asked_.size() < kMaxPeersAsked
+  const auto peer = aForward->tried_.size() < kMaxPeersTried
                       ? ChoosePeer(*aForward)
                       : std::nullopt;
   if (!peer) {
@@ -287,30 +287,30 @@
       FormatError(Error{ ErrorKind::Unavailable, aFailure }));
     return;
   }
-  Ask(aForward, *peer);
+  SendToPeer(aForward, *peer);
 }
 
 void
-TrainerApi::Ask(const ForwardPtr& aForward, const std::string& aPeer)
+TrainerApi::SendToPeer(const ForwardPtr& aForward, const std::string& aPeer)
 {
-  aForward->asked_.push_back(aPeer);
+  aForward->tried_.push_back(aPeer);
   RpcCall call;
   call.topic_ = RpcTopic::Trainer;
   call.timeout_ = aForward->timeout_;
   call.traceparent_ = aForward->span_.context_.Format();
   call.body_ = Encode(aForward->request_);
   host_.Rpc().Call(aPeer, std::move(call), [this, aForward](RpcReply aReply) {
-    Answer(aForward, aReply);
+    OnPeerReply(aForward, aReply);
   });
 }
 
 void
-TrainerApi::Answer(const ForwardPtr& aForward, const RpcReply& aReply)
+TrainerApi::OnPeerReply(const ForwardPtr& aForward, const RpcReply& aReply)
 {
   if (!aReply) {
     const ErrorKind kind = aReply.error().kind_;
     if (kind == ErrorKind::Unavailable || kind == ErrorKind::Timeout) {
-      AskNext(aForward, aReply.error().message_);
+      TryNextPeer(aForward, aReply.error().message_);
       return;
     }
     host_.Traces().End(aForward->span_);
@@ -319,15 +319,15 @@
   }
   const auto reply = DecodeTrainerReply(aReply.value());
   if (reply && !reply.value().redirect_.empty()) {
-    const auto& asked = aForward->asked_;
+    const auto& tried = aForward->tried_;
     const std::string& owner = reply.value().redirect_;
     const bool more =
-      asked.size() < kMaxPeersAsked &&
-      std::find(asked.begin(), asked.end(), owner) == asked.end();
+      tried.size() < kMaxPeersTried &&
+      std::find(tried.begin(), tried.end(), owner) == tried.end();
     if (more) {
-      Ask(aForward, owner);
+      SendToPeer(aForward, owner);
     } else {
-      AskNext(aForward, "the trainer's owner is changing");
+      TryNextPeer(aForward, "the trainer's owner is changing");
     }
     return;
   }
--- a/src/programs/entryd/trainer_api.hpp
+++ b/src/programs/entryd/trainer_api.hpp
@@ -26,13 +26,13 @@
     Duration timeout_{ 0 };
     Span span_;
     HttpReplyPtr reply_;
-    std::vector<std::string> asked_;
+    std::vector<std::string> tried_;
   };
   using ForwardPtr = std::shared_ptr<Forward>;
 
-  void Ask(const ForwardPtr& aForward, const std::string& aPeer);
-  void AskNext(const ForwardPtr& aForward, const std::string& aFailure);
-  void Answer(const ForwardPtr& aForward, const RpcReply& aReply);
+  void SendToPeer(const ForwardPtr& aForward, const std::string& aPeer);
+  void TryNextPeer(const ForwardPtr& aForward, const std::string& aFailure);
+  void OnPeerReply(const ForwardPtr& aForward, const RpcReply& aReply);
   /// @returns the owner's address if known, else any control not yet asked
   [[nodiscard]] std::optional<std::string> ChoosePeer(
     const Forward& aForward) const;
--- a/src/programs/entryd/upstream_message.hpp
+++ b/src/programs/entryd/upstream_message.hpp
@@ -18,6 +18,6 @@
 };
 
 /// Judges a whole response: does it prove that the answer is complete?
-using ResponseJudge = std::function<AttemptEnd(const HttpResponse&)>;
+using ResponseClassifier = std::function<AttemptEnd(const HttpResponse&)>;
 
 } // namespace marjoramtally
--- a/tests/test_unknown_rules.cpp
+++ b/tests/test_unknown_rules.cpp
@@ -16,7 +16,7 @@
 
 /// A process that nobody serves: its store cannot be reached.
 DaemonSettings
-CutOff()
+UnreachableStoreSettings()
 {
   DaemonSettings settings;
   settings.instance_ = "self";
@@ -27,7 +27,7 @@
 
 /// Rules that name nothing.
 void
-LearnRules(Host& aHost)
+SetEmptyRules(Host& aHost)
 {
   auto rules = std::make_shared<Rules>();
   rules->revision_ = ConfigRevision{ 1 };
@@ -35,7 +35,7 @@
 }
 
 std::shared_ptr<FakeReply>
-Ask(Host& aHost, const std::string& aPath, const std::string& aBody)
+Post(Host& aHost, const std::string& aPath, const std::string& aBody)
 {
   HttpRequest request;
   request.method_ = "POST";
@@ -54,20 +54,20 @@
 // Cause: rules that were not read yet are rules that name nothing.
 TEST_CASE("an entry that knows no rules yet denies nothing")
 {
-  Host host(CutOff(), "marjoram-entryd", "entry");
+  Host host(UnreachableStoreSettings(), "marjoram-entryd", "entry");
   const Entry entry(host);
   const auto [path, body] = GENERATE(table<std::string, std::string>({
     { "/v1/services/echo/x", "y" },
     { "/v1/completions", R"({"model":"m","prompt":"p"})" },
     { "/v1/trainers/t/close", R"({"step":1})" },
   }));
-  const auto early = Ask(host, path, body);
+  const auto early = Post(host, path, body);
   REQUIRE(early->status_ == 503);
   REQUIRE(FindHeader(early->headers_, "Retry-After").has_value());
   REQUIRE(FindHeader(early->headers_, kOutcomeHeader) ==
           ToString(Outcome::RefusedNotRun));
-  LearnRules(host);
-  REQUIRE(Ask(host, path, body)->status_ == 404);
+  SetEmptyRules(host);
+  REQUIRE(Post(host, path, body)->status_ == 404);
 }
 
 // A trainer read 404, "unknown trainer", though the rules had named it all day.
@@ -76,7 +76,7 @@
 // Cause: as above.
 TEST_CASE("a control process that knows no rules yet denies no trainer")
 {
-  Host host(CutOff(), "marjoram-controld", "control");
+  Host host(UnreachableStoreSettings(), "marjoram-controld", "control");
   Owners owners(host);
   TrainerService trainers(host, owners);
   InstanceRecord self;
@@ -95,6 +95,6 @@
     return error;
   };
   REQUIRE(close() == ErrorKind::Unavailable);
-  LearnRules(host);
+  SetEmptyRules(host);
   REQUIRE(close() == ErrorKind::NotFound);
 }
