--- a/src/programs/entryd/attempt_sink.hpp
+++ b/src/programs/entryd/attempt_sink.hpp
@@ -1,4 +1,4 @@
-/// Takes the answers of a request's attempts piece by piece.
+/// Incremental receiver for the responses to a request's attempts.
 #pragma once
 
 #include "marjoramtally/request.hpp"
@@ -6,18 +6,21 @@
 
 namespace marjoramtally {
 
-/// Receives what the attempts of one request give, one attempt at a time.
+/// Receives the responses to one request's attempts, which are made one after
+/// the other.
 class AttemptSink
 {
 public:
   virtual ~AttemptSink() = default;
   /// Sets the body and the callbacks of the next attempt.
   virtual void Prepare(HttpCall& aCall) = 0;
-  /// The attempt was sent under this name.
+  /// Handles the start of the attempt, which the HTTP client identifies as
+  /// `aCall`.
   virtual void OnSent(HttpCallId aCall) = 0;
-  /// The attempt ended; may set a body for the accounting of its cost.
+  /// Classifies the ended attempt. May set a response body from which the
+  /// generated tokens are counted.
   [[nodiscard]] virtual AttemptEnd Classify(HttpResult& aResult) = 0;
-  /// @returns whether no further attempt can help
+  /// @returns whether a further attempt is pointless
   [[nodiscard]] virtual bool IsAbandoned() const = 0;
 };
 
--- a/src/programs/entryd/claim_gate.cpp
+++ b/src/programs/entryd/claim_gate.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 constexpr std::string_view kClaimPrefix = "/marjoramtally/claims/";
-/// Ends names, so that reading one does not read longer ones.
+/// Terminates names in keys: reads match by prefix and must not return the
+/// records of longer names.
 constexpr std::string_view kKeyTerminator = ".";
-/// One lease serves all claims of this long, then a new one is taken.
+/// Time for which new claims share one lease before another is granted.
 constexpr auto kLeaseRotation = std::chrono::hours(1);
 constexpr auto kLeaseRetry = std::chrono::seconds(1);
 constexpr auto kTickPeriod = std::chrono::milliseconds(50);
-/// Claim transactions a second that all entries together may make.
+/// Maximum rate of claim transactions of all entry instances together.
 constexpr std::int64_t kMaxCommitsPerSecond = 150;
 
 std::string
@@ -28,7 +29,7 @@
 ToCommitResult(const Result<StoreCommit>& aResult)
 {
   if (!aResult) {
-    // `NotFound`: the lease is gone, so no write took effect.
+    // `NotFound`: the lease does not exist, so no write took effect.
     const ErrorKind kind = aResult.error().kind_;
     const bool noEffect =
       kind == ErrorKind::Unavailable || kind == ErrorKind::NotFound;
@@ -38,7 +39,7 @@
                                   : CommitResult::Conflict;
 }
 
-/// How an answer looks to its caller.
+/// The HTTP form of an answer to a claim.
 struct ResponseForm
 {
   int status_;
@@ -243,7 +244,8 @@
   }
   if (lease == 0) {
     OnCommitted(aBatch.id_,
-                Error{ ErrorKind::Unavailable, "no lease for claims yet" });
+                Error{ ErrorKind::Unavailable,
+                       "no store lease for claims has been granted yet" });
     return;
   }
   host_.Measures().Count("marjoram_claim_commits_total");
--- a/src/programs/entryd/claim_gate.hpp
+++ b/src/programs/entryd/claim_gate.hpp
@@ -19,13 +19,14 @@
   void Start();
   /// Claims a request's key; `aOnVerdict` is called exactly once.
   void Claim(const RequestSpec& aSpec, VerdictCallback aOnVerdict);
-  /// Records how a request ended that was told to run; `aOnRecorded` is
-  /// called once a resend meets that end, or when it cannot be written.
+  /// Records the outcome of a request whose verdict was `Run`. `aOnRecorded` is
+  /// called once a resend of the request is answered by this outcome, or once
+  /// the outcome cannot be written.
   void RecordOutcome(const RequestSpec& aSpec,
                      Outcome aOutcome,
                      int aStatus,
                      RecordedCallback aOnRecorded);
-  /// @returns claims in progress
+  /// @returns number of claims in progress
   [[nodiscard]] std::size_t OpenCount() const;
 
 private:
@@ -51,14 +52,15 @@
   std::uint64_t lastTicket_ = 0;
   std::unordered_map<ClaimTicket, PendingClaim> pendingClaims_;
   std::unordered_map<ClaimTicket, RecordedCallback> recordCallbacks_;
-  /// The ticket under which a running request was claimed.
+  /// Tickets of running requests, by the name of their claim.
   std::unordered_map<std::string, ClaimTicket> runningTickets_;
+  /// Lease of new claims; 0: none.
   StoreLeaseId lease_ = 0;
   TimePoint nextGrant_;
   bool granting_ = false;
 };
 
-/// @returns the response to a request that is not run
+/// @returns the response to a request that must not run
 [[nodiscard]] HttpResponse
 MakeClaimResponse(const ClaimVerdict& aVerdict);
 
--- a/src/programs/entryd/completions.cpp
+++ b/src/programs/entryd/completions.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-/// Tokens generated where a request does not say.
+/// Token limit of requests without `max_tokens`.
 constexpr std::uint64_t kDefaultMaxTokens = 16;
 
 std::vector<VersionSpan>
--- a/src/programs/entryd/completions.hpp
+++ b/src/programs/entryd/completions.hpp
@@ -1,4 +1,5 @@
-/// OpenAI-style completions: requests, proof of completeness, labels.
+/// OpenAI-style completions: requests, checks for completeness, and labels of
+/// weight versions.
 #pragma once
 
 #include "marjoramtally/connection.hpp"
@@ -7,12 +8,12 @@
 
 namespace marjoramtally {
 
-/// What routing needs of a completion request.
+/// Parameters of a completion request that are needed for routing.
 struct CompletionParams
 {
   std::string model_;
   std::uint64_t maxTokens_ = 0;
-  /// Whether the answer is to come as server-sent events.
+  /// Whether the answer is requested as server-sent events.
   bool stream_ = false;
 };
 
@@ -23,15 +24,18 @@
 [[nodiscard]] std::optional<ServiceId>
 FindModelService(const Rules& aRules, const std::string& aModel);
 
-/// Builds the message for one generation of a trainer.
+/// Builds the upstream request for one generation of a trainer.
 [[nodiscard]] UpstreamMessage
 MakeCompletionMessage(const GenerateRequest& aRequest, const RequestId& aId);
 
-/// A completion is whole only if every choice has a finish reason.
+/// Classifies the response to a completion request; a completion is complete
+/// only if every choice has a finish reason.
 [[nodiscard]] AttemptEnd
 ClassifyCompletion(const HttpResponse& aResponse);
 
-/// Turns a completed generation into an encoded `GenerateReply`.
+/// Converts the result of a generation into an encoded `GenerateReply`.
+/// @returns `Unavailable` if it was not completed, `Internal` if the completion
+/// is malformed
 [[nodiscard]] Result<std::string>
 ReadCompletion(const DispatchResult& aResult);
 
--- a/src/programs/entryd/crash_guard.hpp
+++ b/src/programs/entryd/crash_guard.hpp
@@ -1,5 +1,5 @@
-/// Keeps requests that crash upstreams from running, together with the
-/// other entries of the zone.
+/// Refuses requests that crash upstreams. Shares suspicions with the other
+/// entry instances of the zone.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -16,26 +16,26 @@
   {
   }
 
-  /// Starts to share the upstreams out for suspects, by the instances and
-  /// upstreams that are known.
+  /// Starts to divide the upstreams for suspects among the zone's entry
+  /// instances, on each refresh of the known instances and upstreams.
   void Start();
   /// @returns whether a request may run
   [[nodiscard]] QuarantineVerdict Check(const RequestSpec& aSpec);
-  /// @returns upstreams to avoid: those tried and those where another
-  /// suspect is in progress
+  /// @returns upstreams to avoid: those already tried and, for a suspect, those
+  /// assigned to other instances and those where another suspect is in progress
   [[nodiscard]] std::vector<UpstreamId> UpstreamsToAvoid(
     const RequestSpec& aSpec,
     std::vector<UpstreamId> aTried) const;
-  /// Starts an attempt.
-  /// @returns whether it may start at this upstream now
+  /// Records the start of an attempt, if it is allowed.
+  /// @returns whether the attempt may start at this upstream now
   [[nodiscard]] bool TryStart(const RequestSpec& aSpec,
                               const UpstreamId& aUpstream);
-  /// Ends an attempt.
+  /// Records the end of an attempt and announces new or cleared suspicions.
   void OnAttemptEnd(const RequestSpec& aSpec,
                     const UpstreamId& aUpstream,
                     HttpEnd aHttpEnd,
                     AttemptEnd aEnd);
-  /// Answers another entry's call.
+  /// Handles suspicions announced by another entry instance.
   void OnRpc(const RpcCall& aCall, const RpcDone& aDone);
 
 private:
--- a/src/programs/entryd/dispatch_queue.cpp
+++ b/src/programs/entryd/dispatch_queue.cpp
@@ -37,7 +37,7 @@
     if (!upstream) {
       admission_.Stall(ticket);
     } else if (!crashes_.TryStart(queued->spec_, upstream->id_)) {
-      // A suspect waits for its turn alone and holds up nobody.
+      // A suspect that must wait to run isolated does not block the queue.
       suspects.push_back(*queued);
       admission_.Remove(ticket);
     } else {
--- a/src/programs/entryd/dispatch_queue.hpp
+++ b/src/programs/entryd/dispatch_queue.hpp
@@ -1,4 +1,4 @@
-/// The requests that wait for an upstream, and which of them start now.
+/// Requests that wait for an upstream, and the choice of those to start.
 #pragma once
 
 #include "programs/entryd/crash_guard.hpp"
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// A request that waited too long.
+/// A request that expired in the queue.
 struct ExpiredRequest
 {
   TicketId ticket_;
@@ -15,45 +15,47 @@
   Duration wait_{ 0 };
 };
 
-/// Queue of one entry process. Not thread-safe: it belongs to the
-/// dispatcher, under whose lock it and the flights are.
+/// Queue of one entry process. Not thread-safe: the dispatcher's lock guards
+/// the queue and the requests in flight.
 class DispatchQueue
 {
 public:
-  /// @param aRouter and `aCrashes` outlive the queue
+  /// @param aRouter must outlive the queue, as must `aCrashes`
   DispatchQueue(Router& aRouter, CrashGuard& aCrashes) noexcept
     : router_(aRouter)
     , crashes_(aCrashes)
   {
   }
 
-  /// Takes over the rules' limits of classes, trainers and services.
+  /// Applies the rules' limits of classes and trainers, and the capacity of the
+  /// services' upstreams.
   void UpdateLimits(const Rules& aRules,
                     const std::vector<UpstreamView>& aUpstreams);
-  /// Takes a new request, or says why not.
+  /// Enqueues a new request, unless its queue is full or it would miss its
+  /// deadline.
   [[nodiscard]] AdmissionVerdict Enqueue(TicketId aTicket,
                                          const RequestSpec& aSpec,
                                          TimePoint aNow)
   {
     return admission_.Enqueue({ aTicket, aSpec }, aNow);
   }
-  /// Puts a request that is to be sent again before all of its class.
+  /// Enqueues a request that is sent again, ahead of all others of its class.
   void EnqueueFront(TicketId aTicket, const RequestSpec& aSpec, TimePoint aNow)
   {
     admission_.EnqueueFront({ aTicket, aSpec }, aNow);
   }
-  /// @returns attempts of a service's requests to send now, which the router
-  /// counts as sent
+  /// @returns attempts of a service's requests to send now; the router already
+  /// counts them as sent
   [[nodiscard]] std::vector<AttemptStart> PickStarts(
     const ServiceId& aService,
     const InFlightRequests& aRequests,
     TimePoint aNow);
-  /// Removes and returns requests that can no longer meet their deadline.
+  /// Removes and returns the requests that can no longer meet their deadline.
   [[nodiscard]] std::vector<ExpiredRequest> TakeExpired(
     const InFlightRequests& aRequests,
     TimePoint aNow);
   /// Ends a request that was started.
-  /// @param aTokens tokens generated, if the answer was whole
+  /// @param aTokens generated tokens, if the answer was complete
   void Complete(TicketId aTicket,
                 std::optional<std::uint64_t> aTokens,
                 TimePoint aNow)
@@ -66,7 +68,7 @@
     return admission_.Waiting();
   }
   [[nodiscard]] bool empty() const noexcept { return admission_.size() == 0; }
-  /// @returns tokens that such a request is expected to generate
+  /// @returns expected number of tokens that the request generates
   [[nodiscard]] double ExpectedTokens(const RequestSpec& aSpec) const
   {
     return admission_.ExpectedTokens(aSpec);
--- a/src/programs/entryd/dispatch_result.hpp
+++ b/src/programs/entryd/dispatch_result.hpp
@@ -1,4 +1,4 @@
-/// What became of a request that was dispatched, and why.
+/// Outcome of a dispatched request, and the reason.
 #pragma once
 
 #include "marjoramtally/process.hpp"
@@ -7,38 +7,38 @@
 
 namespace marjoramtally {
 
-/// What became of a request.
+/// Outcome of a request.
 struct DispatchResult
 {
   Outcome outcome_ = Outcome::RefusedNotRun;
   /// Set if completed.
   HttpResponse response_;
   UpstreamId upstream_;
-  /// Why it was not completed, for people.
+  /// Human-readable reason why it was not completed.
   std::string reason_;
-  /// Whether it was its deadline that ended it.
+  /// Whether it ended because of its deadline.
   bool deadlineMissed_ = false;
-  /// When sending it again makes sense.
+  /// Time after which the caller should retry.
   Duration retryAfter_ = std::chrono::seconds(1);
 };
 
 using DispatchDone = std::function<void(DispatchResult)>;
 
-/// @returns the result of a request that the queue did not take
+/// @returns the result of a request that was not admitted to the queue
 [[nodiscard]] DispatchResult
 MakeRefused(const AdmissionVerdict& aVerdict);
 
-/// @returns the result of a request that must not run again
+/// @returns the result of a request that is refused by the quarantine
 [[nodiscard]] DispatchResult
 MakeQuarantined(const QuarantineVerdict& aVerdict);
 
 /// @param aWait expected time in the queue
-/// @param aLast what is true of its attempts
-/// @returns the result of a request that waited too long
+/// @param aLast final step that follows from its earlier attempts
+/// @returns the result of a request that expired in the queue
 [[nodiscard]] DispatchResult
 MakeExpired(Duration aWait, NextStep aLast);
 
-/// @returns the result of a request that its last attempt decided
+/// @returns the result of a request that its last attempt ended
 [[nodiscard]] DispatchResult
 MakeEnded(const UpstreamId& aUpstream, HttpResult aResult, NextStep aLast);
 
--- a/src/programs/entryd/dispatcher.cpp
+++ b/src/programs/entryd/dispatcher.cpp
@@ -165,7 +165,7 @@
   std::vector<AttemptStart> hedges;
   {
     const std::lock_guard lock(mutex_);
-    // Capacity is idle only while nothing waits for it.
+    // Capacity counts as idle only while no request waits for it.
     hedges = hedges_.Review(requests_, queue_.empty(), host_.Now());
     RecordStarts(hedges);
   }
--- a/src/programs/entryd/dispatcher.hpp
+++ b/src/programs/entryd/dispatcher.hpp
@@ -1,4 +1,4 @@
-/// Takes requests through queue, routing and attempts to their outcome.
+/// Dispatches requests: queueing, routing, attempts, retries and hedges.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -11,37 +11,40 @@
 
 /// The dispatcher of one entry process. Thread-safe.
 ///
-/// One lock guards the queue, the hedges, the retry budget, the flights and
-/// what changes in a flight. Each member function takes it itself, but for
-/// those marked, which are called with it held. Router, crash guard, report
-/// poller and measures are thread-safe: they are called with the lock held or
-/// not, and never call back. Callers' callbacks, the HTTP client and traces
-/// are only called without it; of a sink, only `IsAbandoned` is called with it.
+/// One lock guards the queue, the hedges, the retry budget, the map of requests
+/// in flight and their mutable members. Each member function takes the lock
+/// itself, except those documented to be called with the lock held. The router,
+/// the crash guard, the report poller and the metrics are thread-safe and never
+/// call back, so they are called with or without the lock. Callers' callbacks,
+/// the HTTP client and traces are only called without the lock; of a sink, only
+/// `IsAbandoned` is called with it.
 class Dispatcher
 {
 public:
   explicit Dispatcher(Host& aHost);
 
-  /// Starts to refresh upstreams and their reports.
+  /// Starts the periodic work: refreshes of upstreams, polls of their reports,
+  /// dispatch, expiry and hedging.
   void Start();
-  /// Takes one request to its outcome; `aDone` is called exactly once.
+  /// Dispatches one request; `aDone` is called exactly once.
   void Submit(RequestSpec aSpec,
               UpstreamMessage aMessage,
               TraceContext aTrace,
               ResponseClassifier aClassify,
               DispatchDone aDone);
-  /// @returns requests not yet finished
+  /// @returns number of requests that are not finished
   [[nodiscard]] std::size_t Unfinished() const;
   [[nodiscard]] bool KnowsService(const ServiceId& aService) const;
-  /// Suspicions that entries share.
+  /// @returns the crash guard, which handles suspicions of other entry
+  /// instances
   [[nodiscard]] CrashGuard& Crashes() noexcept { return crashes_; }
 
 private:
-  /// What follows from an attempt that decides its request.
+  /// What follows from an attempt that ends its request or causes a retry.
   struct Decision
   {
     NextStep next_ = NextStep::Retry;
-    /// Attempts to be cancelled.
+    /// Attempts still in progress that are no longer needed.
     std::vector<SentAttempt> toCancel_{};
   };
 
@@ -51,31 +54,35 @@
               const InFlightRequestPtr& aRequest,
               const AdmissionVerdict& aVerdict);
   void Expire();
-  /// Dispatches what may go now, of all services or of one.
+  /// Sends the waiting requests of all services for which an upstream has
+  /// capacity.
   void DispatchWaiting();
+  /// The same for one service.
   void DispatchService(const ServiceId& aService);
   void HedgeStragglers();
   void SendAttempt(const AttemptStart& aStart);
-  /// Puts attempts on the lists of those in progress. The lock that chose
-  /// them is still held, so that the end of another attempt sees them.
+  /// Adds attempts to their requests' lists of attempts in progress. Called
+  /// with the lock held since they were chosen, so that the end of another
+  /// attempt of the same request finds them.
   void RecordStarts(const std::vector<AttemptStart>& aStarts);
   void RecordCall(const AttemptStart& aStart, HttpCallId aCall);
   void EndAttempt(const AttemptStart& aStart, HttpResult aResult);
-  /// Records an attempt's end.
-  /// @param aVerdict whether its request may run again
-  /// @param aResult gets the reason if it may not
-  /// @returns what follows, if it decides the request
+  /// Records the end of an attempt.
+  /// @param aVerdict whether the quarantine lets its request run again
+  /// @param aResult receives the reason if it does not
+  /// @returns what follows, or nothing if the request is already answered or
+  /// another of its attempts is in progress
   [[nodiscard]] std::optional<Decision> Decide(
     const AttemptStart& aStart,
     AttemptEnd aEnd,
     const QuarantineVerdict& aVerdict,
     HttpResult& aResult);
-  /// Tells the router how an attempt ended; the lock is held.
+  /// Reports the end of an attempt to the router. Called with the lock held.
   void ReportToRouter(const AttemptStart& aStart,
                       AttemptEnd aEnd,
                       const HttpResult& aResult);
-  /// Decides what follows an attempt, within the retry budget and the
-  /// quarantine; the lock is held.
+  /// Decides what follows an attempt, subject to the retry budget and the
+  /// quarantine. Called with the lock held.
   [[nodiscard]] NextStep ChooseNextStep(InFlightRequest& aRequest,
                                         AttemptEnd aEnd,
                                         const QuarantineVerdict& aVerdict,
@@ -83,8 +90,8 @@
   void Finish(TicketId aTicket,
               const InFlightRequestPtr& aRequest,
               DispatchResult aResult);
-  /// Ends a request whose fingerprint is quarantined.
-  /// @returns whether it was
+  /// Finishes a request if its fingerprint is quarantined.
+  /// @returns whether it is
   bool FinishIfQuarantined(TicketId aTicket,
                            const InFlightRequestPtr& aRequest);
 
--- a/src/programs/entryd/entry.cpp
+++ b/src/programs/entryd/entry.cpp
@@ -11,8 +11,8 @@
 constexpr std::string_view kServicePath = "/v1/services/";
 constexpr std::string_view kTrainerPath = "/v1/trainers/";
 constexpr std::string_view kCompletionPath = "/v1/completions";
-/// A caller that came before any rules were read comes back; the store is read
-/// every second by default (`DaemonSettings::refresh_`).
+/// Retry delay of callers whose request arrives before any rules were read; the
+/// store is read every second by default (`DaemonSettings::refresh_`).
 constexpr const char* kRetryAfterSeconds = "1";
 
 HttpResponse
@@ -57,10 +57,11 @@
 Entry::OnHttp(HttpRequest aRequest, const HttpReplyPtr& aReply)
 {
   if (!IsLoaded(*host_.ClusterState().View()->rules_)) {
-    // Callers take 404 for final.
-    LogEvent(LogLevel::Info,
-             "refused",
-             { { "path", aRequest.path_ }, { "why", "no rules yet" } });
+    // Callers treat 404 as final, so the answer is 503 until rules are known.
+    LogEvent(
+      LogLevel::Info,
+      "refused",
+      { { "path", aRequest.path_ }, { "why", "no rules have been read yet" } });
     aReply->Send(MakeNoRulesResponse());
   } else if (aRequest.path_.starts_with(kServicePath)) {
     ServeCall(aRequest, aReply);
@@ -295,7 +296,8 @@
   spec.outputTokens_ = aRequest.maxTokens_;
   spec.id_ = RequestId{ host_.Settings().instance_ + "-" +
                         std::to_string(++lastRequest_) };
-  // The ids of a generation differ each time: what counts is the prompt.
+  // Ids differ between generations, so the fingerprint covers only the model
+  // and the prompt.
   spec.fingerprint_ =
     MakeFingerprint({ aRequest.model_, aRequest.prompt_ }).Get();
   spec.arrived_ = host_.Now();
--- a/src/programs/entryd/entry.hpp
+++ b/src/programs/entryd/entry.hpp
@@ -1,5 +1,6 @@
-/// The door: HTTP routes for live callers and trainers, and generations for
-/// control processes.
+/// Routes of the entry daemon: HTTP for live callers and trainers, RPC for
+/// generations of control processes and for suspicions of other entry
+/// instances.
 #pragma once
 
 #include "programs/entryd/claim_gate.hpp"
@@ -10,7 +11,7 @@
 
 class StreamRelay;
 
-/// The entry process's own work on top of its host.
+/// Request handlers of the entry process.
 class Entry
 {
 public:
@@ -20,7 +21,7 @@
   [[nodiscard]] bool Busy() const;
 
 private:
-  /// One live request on its way.
+  /// One live request in progress.
   struct LiveRequest
   {
     RequestSpec spec_;
@@ -40,9 +41,10 @@
   void Generate(const GenerateRequest& aRequest,
                 const RpcCall& aCall,
                 RpcDone aDone);
-  /// Fills what headers say of a live request.
+  /// Makes the specification of a live request from its headers and the rules.
   [[nodiscard]] Result<RequestSpec> MakeSpec(const HttpRequest& aRequest,
                                              const ServiceId& aService);
+  /// Claims the request's idempotency key if it has one, then runs it.
   void SubmitLive(RequestSpec aSpec,
                   UpstreamMessage aMessage,
                   ResponseClassifier aClassify,
--- a/src/programs/entryd/hedges.cpp
+++ b/src/programs/entryd/hedges.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Members of groups sent a second time in one review.
+/// Idle slots that one review assumes, hence its maximum number of hedges.
 constexpr std::size_t kHedgesPerReview = 4;
 
 bool
--- a/src/programs/entryd/hedges.hpp
+++ b/src/programs/entryd/hedges.hpp
@@ -1,4 +1,4 @@
-/// Sends members of groups that run late a second time.
+/// Sends late members of groups a second time (hedged requests).
 #pragma once
 
 #include "programs/entryd/crash_guard.hpp"
@@ -6,41 +6,43 @@
 
 namespace marjoramtally {
 
-/// Hedges of one entry process. Not thread-safe: it belongs to the
-/// dispatcher, under whose lock it and the flights are.
+/// Hedges of one entry process. Not thread-safe: the dispatcher's lock guards
+/// the hedges and the requests in flight.
 class Hedges
 {
 public:
-  /// @param aRouter and `aCrashes` outlive the hedges
+  /// @param aRouter must outlive the hedges, as must `aCrashes`
   Hedges(Router& aRouter, CrashGuard& aCrashes) noexcept
     : router_(aRouter)
     , crashes_(aCrashes)
   {
   }
 
-  /// An attempt was put on the list of those in progress.
+  /// Handles an attempt that was added to the attempts in progress.
   void OnStarted(TicketId aTicket,
                  const InFlightRequest& aRequest,
                  double aExpectedTokens,
                  TimePoint aNow);
-  /// A request was decided; its attempts still in progress are wasted.
-  /// @param aTokens tokens generated, if the answer was whole
+  /// Handles the end of a request or of its current attempts before a retry;
+  /// attempts still in progress count as wasted.
+  /// @param aTokens generated tokens, if the answer was complete
   void OnDecided(TicketId aTicket,
                  const InFlightRequest& aRequest,
                  std::optional<std::uint64_t> aTokens,
                  TimePoint aNow);
-  /// A whole answer came after another.
+  /// Records a complete answer that arrived after another one.
   void OnWasted(std::uint64_t aTokens) noexcept
   {
     policy_.OnWasted(static_cast<double>(aTokens));
   }
-  /// @param aIdle whether upstreams have capacity that nothing waits for
-  /// @returns second attempts to send now; the router counts them as sent
+  /// @param aIdle whether upstreams have capacity for which no request waits
+  /// @returns second attempts to send now; the router already counts them as
+  /// sent
   [[nodiscard]] std::vector<AttemptStart>
   Review(const InFlightRequests& aRequests, bool aIdle, TimePoint aNow);
 
 private:
-  /// @returns where to send a second attempt, or null
+  /// @returns the upstream for a second attempt, or null
   [[nodiscard]] UpstreamPtr Pick(const InFlightRequest& aRequest,
                                  TimePoint aNow);
 
--- a/src/programs/entryd/in_flight_request.cpp
+++ b/src/programs/entryd/in_flight_request.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Attempts without a caller's deadline end after this long.
+/// Time limit of attempts of requests without a deadline.
 constexpr auto kMaxAttemptTime = std::chrono::minutes(30);
 constexpr auto kMinAttemptTime = std::chrono::milliseconds(1);
 
@@ -73,7 +73,7 @@
   aRequest.tried_.push_back(aUpstream);
   aRequest.answered_ = aEnd == AttemptEnd::Complete;
   if (!aRequest.answered_ && !aRequest.sent_.empty()) {
-    // The other attempt goes on; this one counts as made.
+    // Another attempt is still in progress; this one only counts as made.
     static_cast<void>(aRequest.attempts_.RecordEnd(aRequest.spec_, aEnd, aNow));
     return false;
   }
--- a/src/programs/entryd/in_flight_request.hpp
+++ b/src/programs/entryd/in_flight_request.hpp
@@ -1,4 +1,4 @@
-/// A request between its arrival and its outcome, with its attempts.
+/// Requests between arrival and outcome, and their attempts.
 #pragma once
 
 #include "marjoramtally/process.hpp"
@@ -15,12 +15,12 @@
 {
   UpstreamId upstream_;
   TimePoint at_;
-  /// Set once the client has taken it.
+  /// Set once the HTTP client has accepted the call.
   std::optional<HttpCallId> call_;
 };
 
-/// A request that is not finished. What `Submit` was given does not change;
-/// the rest is written under the dispatcher's lock.
+/// A request that is not finished. The parameters of `Dispatcher::Submit` do
+/// not change; the other members are guarded by the dispatcher's lock.
 struct InFlightRequest
 {
   RequestSpec spec_;
@@ -28,19 +28,20 @@
   ResponseClassifier classify_;
   DispatchDone done_;
   Attempts attempts_;
+  /// Upstreams of ended attempts.
   std::vector<UpstreamId> tried_;
   TraceContext trace_;
   Span queueSpan_;
-  /// Attempts in progress; more than one if it is hedged.
+  /// Attempts in progress; more than one if the request is hedged.
   std::vector<SentAttempt> sent_{};
-  /// Whether a whole answer was taken; later ones are dropped.
+  /// Whether a complete answer was accepted; later answers are discarded.
   bool answered_ = false;
 };
 
 using InFlightRequestPtr = std::shared_ptr<InFlightRequest>;
 using InFlightRequests = std::unordered_map<TicketId, InFlightRequestPtr>;
 
-/// An attempt that is to be sent.
+/// An attempt to be sent.
 struct AttemptStart
 {
   TicketId ticket_;
@@ -48,27 +49,32 @@
   UpstreamPtr upstream_;
 };
 
-/// @returns how an attempt ended; may set a body for the accounting
+/// Classifies the end of an attempt. May set a response body from which the
+/// generated tokens are counted.
 [[nodiscard]] AttemptEnd
 ClassifyAttempt(const InFlightRequest& aRequest, HttpResult& aResult);
 
-/// @returns tokens that a completion says it generated; 0 if it is none
+/// @returns generated tokens as stated by a completion; 0 if the response
+/// states none
 [[nodiscard]] std::uint64_t
 CountTokens(const HttpResponse& aResponse);
 
-/// Takes an attempt off the list of those in progress.
+/// Removes an attempt from the attempts in progress.
+/// @returns the attempt
 [[nodiscard]] SentAttempt
 RemoveSent(InFlightRequest& aRequest, const UpstreamId& aUpstream);
 
-/// Records the end of an attempt that was taken off the list.
-/// @returns whether it decides the request
+/// Records the end of an attempt that was removed by `RemoveSent`.
+/// @returns whether the next step of the request is to be decided: false if the
+/// request is already answered, or if this attempt failed and another is in
+/// progress
 [[nodiscard]] bool
 RecordAttemptEnd(InFlightRequest& aRequest,
                  const UpstreamId& aUpstream,
                  AttemptEnd aEnd,
                  TimePoint aNow);
 
-/// @returns the call that makes an attempt
+/// @returns the HTTP call of an attempt
 [[nodiscard]] HttpCall
 MakeCall(const InFlightRequest& aRequest,
          const UpstreamView& aUpstream,
--- a/src/programs/entryd/live_messages.cpp
+++ b/src/programs/entryd/live_messages.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Headers that belong to one connection and are not passed on.
+/// @returns whether a header applies to one connection or hop and is not
+/// forwarded
 bool
 IsHopByHopHeader(std::string_view aName)
 {
@@ -26,7 +27,7 @@
   return 503;
 }
 
-/// @returns whole seconds, at least one
+/// @returns the duration in seconds, rounded up, at least one
 std::string
 FormatRetryAfter(Duration aDuration)
 {
--- a/src/programs/entryd/main.cpp
+++ b/src/programs/entryd/main.cpp
@@ -1,4 +1,4 @@
-/// The entry daemon: the door for live callers and trainers.
+/// The entry daemon: accepts requests of live callers and trainers.
 
 #include "programs/entryd/entry.hpp"
 
@@ -13,7 +13,7 @@
     StartDaemon(aArgc,
                 aArgv,
                 "marjoram-entryd",
-                "Takes requests of callers and trainers and sends them on.",
+                "Accepts requests of callers and trainers and dispatches them.",
                 code);
   if (!settings) {
     return code;
--- a/src/programs/entryd/report_poller.hpp
+++ b/src/programs/entryd/report_poller.hpp
@@ -1,4 +1,4 @@
-/// Asks upstreams for their load and passes the reports to the router.
+/// Polls upstreams for load reports and passes them to the router.
 #pragma once
 
 #include "daemon/host.hpp"
@@ -6,17 +6,17 @@
 
 namespace marjoramtally {
 
-/// Polls the upstreams of one entry process. Thread-safe: its lock guards the
-/// plan alone, and nothing is called with it held.
+/// Polls the upstreams of one entry process. Thread-safe: its lock guards only
+/// the poll plan and is never held while other components are called.
 class ReportPoller
 {
 public:
-  /// @param aRouter outlives the poller
+  /// @param aRouter must outlive the poller
   ReportPoller(Host& aHost, Router& aRouter);
 
-  /// Starts to poll.
+  /// Starts periodic polling.
   void Start();
-  /// Takes the upstreams that are known.
+  /// Sets the upstreams to poll.
   void SetUpstreams(const std::vector<UpstreamView>& aUpstreams);
 
 private:
--- a/src/programs/entryd/request_metrics.hpp
+++ b/src/programs/entryd/request_metrics.hpp
@@ -1,4 +1,4 @@
-/// Counts of requests by class and outcome, looked up once.
+/// Metrics of requests by class and outcome.
 #pragma once
 
 #include "marjoramtally/request.hpp"
@@ -8,14 +8,15 @@
 
 namespace marjoramtally {
 
-/// Measures of finished requests. Thread-safe.
+/// Metrics of finished requests. They are looked up by name only once, at
+/// construction. Thread-safe.
 class RequestMetrics
 {
 public:
-  /// @param aMetrics outlives the measures
+  /// @param aMetrics must outlive this object
   explicit RequestMetrics(Metrics& aMetrics);
   /// Counts one finished request.
-  /// @param aTook from its arrival to its outcome
+  /// @param aTook time from its arrival to its outcome
   void OnFinished(RequestClass aClass, Outcome aOutcome, Duration aTook);
 
 private:
--- a/src/programs/entryd/stream_relay.hpp
+++ b/src/programs/entryd/stream_relay.hpp
@@ -1,4 +1,4 @@
-/// Passes a streamed completion from upstreams to its caller.
+/// Relays a streamed completion from upstreams to its caller.
 #pragma once
 
 #include "marjoramtally/runtime.hpp"
@@ -8,21 +8,23 @@
 
 namespace marjoramtally {
 
-/// One streamed completion over its attempts. Held by shared pointer.
+/// One streamed completion across its attempts; a further attempt continues
+/// after the tokens received so far. Must be owned by a shared pointer.
 class StreamRelay final
   : public AttemptSink
   , public std::enable_shared_from_this<StreamRelay>
 {
 public:
-  /// @param aBody the caller's request
+  /// @param aBody body of the caller's request
   StreamRelay(HttpClient& aClient, HttpReplyPtr aReply, std::string aBody);
 
   void Prepare(HttpCall& aCall) override;
   void OnSent(HttpCallId aCall) override;
   [[nodiscard]] AttemptEnd Classify(HttpResult& aResult) override;
   [[nodiscard]] bool IsAbandoned() const override;
-  /// Ends the stream. If none of it was sent, the response is; else, if it
-  /// did not complete, an error event ends it, and no final event.
+  /// Ends the stream. If none of it has been sent, sends the response instead.
+  /// A stream that did not complete ends with an error event and without the
+  /// final event.
   void Finish(HttpResponse aResponse);
 
 private:
--- a/src/programs/entryd/trainer_api.cpp
+++ b/src/programs/entryd/trainer_api.cpp
@@ -17,13 +17,14 @@
 constexpr std::uint32_t kMaxGroupSize = 1024;
 constexpr std::uint32_t kMaxTokens = 1U << 20U;
 constexpr std::size_t kMaxPeersTried = 4;
-/// Time for an owner to answer; it may have to ask the store.
+/// Time for an owner to answer, which may include a request to the store.
 constexpr auto kOwnerTimeout = std::chrono::seconds(3);
-/// Time for an owner to answer a take beyond the wait that was asked for.
-/// Short, as the owner may be paused while another has taken over.
+/// Time for an owner to answer a take in addition to the requested wait. Kept
+/// short because the owner may be paused while another instance has taken over.
 constexpr auto kTakeTimeoutMargin = std::chrono::seconds(1);
 
-/// A number of a JSON object within bounds; throws a message otherwise.
+/// Reads a number of a JSON object.
+/// @throws std::invalid_argument if it is out of bounds
 std::uint64_t
 ReadBounded(const Json& aBody,
             const char* aName,
@@ -105,7 +106,7 @@
   return GetProgress{};
 }
 
-/// One operation of the interface and its reader.
+/// One operation of the interface and the parser of its body.
 struct OperationRoute
 {
   std::string_view name_;
--- a/src/programs/entryd/upstream_list.hpp
+++ b/src/programs/entryd/upstream_list.hpp
@@ -1,4 +1,4 @@
-/// The upstreams that rules name, as routing sees them.
+/// Converts the upstreams of the rules into the router's representation.
 #pragma once
 
 #include "marjoramtally/process.hpp"
--- a/src/programs/entryd/upstream_message.hpp
+++ b/src/programs/entryd/upstream_message.hpp
@@ -1,11 +1,12 @@
-/// What is sent to upstreams for a request, and how its answer is judged.
+/// The message sent to upstreams for a request, and the classification of the
+/// response.
 #pragma once
 
 #include "programs/entryd/attempt_sink.hpp"
 
 namespace marjoramtally {
 
-/// The HTTP message to send to whichever upstream is chosen.
+/// The HTTP message of a request, independent of the chosen upstream.
 struct UpstreamMessage
 {
   std::string method_;
@@ -13,11 +14,12 @@
   std::string target_;
   HttpHeaders headers_;
   std::string body_;
-  /// Takes the answer piece by piece, if set; the result has no body then.
+  /// Receives the response incrementally if set; the result then has no body.
   std::shared_ptr<AttemptSink> sink_{};
 };
 
-/// Judges a whole response: does it prove that the answer is complete?
+/// Classifies a response that was received in full: whether it proves that the
+/// request completed, was not run, or neither.
 using ResponseClassifier = std::function<AttemptEnd(const HttpResponse&)>;
 
 } // namespace marjoramtally
