--- a/src/programs/entryd/dispatch_queue.cpp
+++ b/src/programs/entryd/dispatch_queue.cpp
@@ -32,11 +32,11 @@
     const InFlightRequestPtr& request = aRequests.at(ticket);
     UpstreamPtr upstream =
       router_.Pick(queued->spec_,
-                   crashes_.UpstreamsToAvoid(queued->spec_, request->tried_),
+                   crashGuard_.UpstreamsToAvoid(queued->spec_, request->tried_),
                    aNow);
     if (!upstream) {
       admission_.Stall(ticket);
-    } else if (!crashes_.TryStart(queued->spec_, upstream->id_)) {
+    } else if (!crashGuard_.TryStart(queued->spec_, upstream->id_)) {
       // A suspect that must wait to run isolated does not block the queue.
       suspects.push_back(*queued);
       admission_.Remove(ticket);
--- a/src/programs/entryd/dispatch_queue.hpp
+++ b/src/programs/entryd/dispatch_queue.hpp
@@ -20,10 +20,10 @@
 class DispatchQueue
 {
 public:
-  /// @param aRouter must outlive the queue, as must `aCrashes`
-  DispatchQueue(Router& aRouter, CrashGuard& aCrashes) noexcept
+  /// @param aRouter must outlive the queue, as must `aCrashGuard`
+  DispatchQueue(Router& aRouter, CrashGuard& aCrashGuard) noexcept
     : router_(aRouter)
-    , crashes_(aCrashes)
+    , crashGuard_(aCrashGuard)
   {
   }
 
@@ -76,7 +76,7 @@
 
 private:
   Router& router_;
-  CrashGuard& crashes_;
+  CrashGuard& crashGuard_;
   Admission admission_;
 };
 
--- a/src/programs/entryd/dispatcher.cpp
+++ b/src/programs/entryd/dispatcher.cpp
@@ -15,17 +15,17 @@
   : host_(aHost)
   , router_(ZoneId{ aHost.Settings().zone_ },
             std::hash<std::string>{}(aHost.Settings().instance_))
-  , crashes_(aHost)
+  , crashGuard_(aHost)
   , reports_(aHost, router_)
-  , queue_(router_, crashes_)
-  , hedges_(router_, crashes_)
+  , queue_(router_, crashGuard_)
+  , hedges_(router_, crashGuard_)
 {
 }
 
 void
 Dispatcher::Start()
 {
-  crashes_.Start();
+  crashGuard_.Start();
   host_.ClusterState().OnRefresh(
     [this](const ClusterViewPtr& aView) { ApplyView(aView); });
   reports_.Start();
@@ -227,8 +227,8 @@
   const RequestSpec& spec = aStart.request_->spec_;
   const UpstreamId& upstream = aStart.upstream_->id_;
   const AttemptEnd end = ClassifyAttempt(*aStart.request_, aResult);
-  crashes_.OnAttemptEnd(spec, upstream, aResult.end_, end);
-  const auto decision = Decide(aStart, end, crashes_.Check(spec), aResult);
+  crashGuard_.OnAttemptEnd(spec, upstream, aResult.end_, end);
+  const auto decision = Decide(aStart, end, crashGuard_.Check(spec), aResult);
   if (!decision) {
     return;
   }
@@ -325,7 +325,7 @@
 Dispatcher::FinishIfQuarantined(TicketId aTicket,
                                 const InFlightRequestPtr& aRequest)
 {
-  const QuarantineVerdict verdict = crashes_.Check(aRequest->spec_);
+  const QuarantineVerdict verdict = crashGuard_.Check(aRequest->spec_);
   if (!verdict.refused_) {
     return false;
   }
--- a/src/programs/entryd/dispatcher.hpp
+++ b/src/programs/entryd/dispatcher.hpp
@@ -37,7 +37,7 @@
   [[nodiscard]] bool KnowsService(const ServiceId& aService) const;
   /// @returns the crash guard, which handles suspicions of other entry
   /// instances
-  [[nodiscard]] CrashGuard& Crashes() noexcept { return crashes_; }
+  [[nodiscard]] CrashGuard& GetCrashGuard() noexcept { return crashGuard_; }
 
 private:
   /// What follows from an attempt that ends its request or causes a retry.
@@ -98,7 +98,7 @@
   Host& host_;
   RequestMetrics requestMetrics_{ host_.Measures() };
   Router router_;
-  CrashGuard crashes_;
+  CrashGuard crashGuard_;
   ReportPoller reports_;
   mutable std::mutex mutex_;
   DispatchQueue queue_;
--- a/src/programs/entryd/entry.cpp
+++ b/src/programs/entryd/entry.cpp
@@ -11,8 +11,8 @@
 constexpr std::string_view kServicePath = "/v1/services/";
 constexpr std::string_view kTrainerPath = "/v1/trainers/";
 constexpr std::string_view kCompletionPath = "/v1/completions";
-/// Retry delay of callers whose request arrives before any rules were read; the
-/// store is read every second by default (`DaemonSettings::refresh_`).
+/// Retry delay in seconds of requests that arrive before any rules were read;
+/// the store is read every second by default (`DaemonSettings::refresh_`).
 constexpr const char* kRetryAfterSeconds = "1";
 
 HttpResponse
@@ -262,7 +262,7 @@
 Entry::OnRpc(RpcCall aCall, RpcDone aDone)
 {
   if (aCall.topic_ == RpcTopic::Claim) {
-    dispatcher_.Crashes().OnRpc(aCall, aDone);
+    dispatcher_.GetCrashGuard().OnRpc(aCall, aDone);
     return;
   }
   if (aCall.topic_ != RpcTopic::Generate) {
--- a/src/programs/entryd/hedges.cpp
+++ b/src/programs/entryd/hedges.cpp
@@ -70,9 +70,9 @@
   std::vector<UpstreamId> avoid = aRequest.tried_;
   avoid.push_back(slow);
   UpstreamPtr upstream =
-    router_.Pick(spec, crashes_.UpstreamsToAvoid(spec, avoid), aNow);
+    router_.Pick(spec, crashGuard_.UpstreamsToAvoid(spec, avoid), aNow);
   if (!upstream || upstream->id_ == slow ||
-      !crashes_.TryStart(spec, upstream->id_)) {
+      !crashGuard_.TryStart(spec, upstream->id_)) {
     return nullptr;
   }
   return upstream;
--- a/src/programs/entryd/hedges.hpp
+++ b/src/programs/entryd/hedges.hpp
@@ -11,10 +11,10 @@
 class Hedges
 {
 public:
-  /// @param aRouter must outlive the hedges, as must `aCrashes`
-  Hedges(Router& aRouter, CrashGuard& aCrashes) noexcept
+  /// @param aRouter must outlive the hedges, as must `aCrashGuard`
+  Hedges(Router& aRouter, CrashGuard& aCrashGuard) noexcept
     : router_(aRouter)
-    , crashes_(aCrashes)
+    , crashGuard_(aCrashGuard)
   {
   }
 
@@ -47,7 +47,7 @@
                                  TimePoint aNow);
 
   Router& router_;
-  CrashGuard& crashes_;
+  CrashGuard& crashGuard_;
   StragglerPolicy policy_;
 };
 
--- a/src/programs/entryd/live_messages.cpp
+++ b/src/programs/entryd/live_messages.cpp
@@ -49,13 +49,13 @@
 HttpHeaders
 EndToEndHeaders(const HttpHeaders& aHeaders)
 {
-  HttpHeaders passed;
+  HttpHeaders forwarded;
   for (const HttpHeader& header : aHeaders) {
     if (!IsHopByHopHeader(header.name_)) {
-      passed.push_back(header);
+      forwarded.push_back(header);
     }
   }
-  return passed;
+  return forwarded;
 }
 
 HttpResponse
