--- a/tests/test_unknown_rules.cpp
+++ b/tests/test_unknown_rules.cpp
@@ -1,4 +1,4 @@
-/// The daemons of the product's own interface before they know any rules.
+/// Entry and control daemons that have not read any rules yet.
 
 #include "gateway_fixture.hpp"
 #include "programs/controld/trainer_service.hpp"
@@ -14,7 +14,7 @@
 
 const TrainerId kTrainer{ "t" };
 
-/// A process that nobody serves: its store cannot be reached.
+/// Settings of a process whose store is unreachable.
 DaemonSettings
 UnreachableStoreSettings()
 {
@@ -25,7 +25,7 @@
   return settings;
 }
 
-/// Rules that name nothing.
+/// Sets rules without services, models and trainers, as read from the store.
 void
 SetEmptyRules(Host& aHost)
 {
@@ -48,11 +48,11 @@
 
 } // namespace
 
-// Callers and trainers of services that there are read 404, "unknown service",
-// "unknown model", "unknown trainer", and gave up. The order: an entry started,
-// opened its door, and its first callers came before it had read any rules.
-// Cause: rules that were not read yet are rules that name nothing.
-TEST_CASE("an entry that knows no rules yet denies nothing")
+// Guards against final 404 answers ("unknown service", "unknown model",
+// "unknown trainer") for things that exist, on which callers and trainers stop
+// retrying. They occur if an entry process accepts requests before it has read
+// any rules and treats unread rules as empty rules.
+TEST_CASE("an entry answers 503 rather than 404 until it has read the rules")
 {
   Host host(UnreachableStoreSettings(), "marjoram-entryd", "entry");
   const Entry entry(host);
@@ -70,11 +70,12 @@
   REQUIRE(Post(host, path, body)->status_ == 404);
 }
 
-// A trainer read 404, "unknown trainer", though the rules had named it all day.
-// The order: the control process that owns it started again and was asked
-// before it had read any rules; the entry passed its answer on as final.
-// Cause: as above.
-TEST_CASE("a control process that knows no rules yet denies no trainer")
+// Guards against a final 404 answer ("unknown trainer") for a trainer that the
+// rules contain. It occurs if the control process that owns the trainer
+// restarts, receives a request before it has read any rules and treats unread
+// rules as empty rules: the entry process forwards its answer as final.
+TEST_CASE(
+  "a control process reports no unknown trainer until it has read the rules")
 {
   Host host(UnreachableStoreSettings(), "marjoram-controld", "control");
   Owners owners(host);
