--- a/src/programs/load/allocation_bench.cpp
+++ b/src/programs/load/allocation_bench.cpp
@@ -23,9 +23,9 @@
 constexpr std::uint64_t kHours = 4;
 constexpr double kSecondsPerHour = 3600.0;
 /// A burst of live demand starts in the middle of each 10 minutes.
-constexpr double kBurstPeriod = 600.0;
-constexpr double kBurstLength = 120.0;
-constexpr double kBurst = 16.0;
+constexpr double kBurstPeriodSeconds = 600.0;
+constexpr double kBurstSeconds = 120.0;
+constexpr double kBurstDemand = 16.0;
 constexpr double kBaseDemand = 16.0;
 /// Time in which an order of role takes effect and its engine drains.
 constexpr double kMoveSeconds = 2.0;
@@ -36,24 +36,24 @@
 const EngineUserId kLive{ "live" };
 
 /// One way to allocate.
-struct Plan
+struct AllocationPlan
 {
   const char* name_;
   AllocationPolicy policy_;
   /// Engines never move after the start.
-  bool fixed_ = false;
+  bool isFixed_ = false;
 };
 
 /// What came of it.
-struct Outcome
+struct AllocationOutcome
 {
   std::uint64_t moves_ = 0;
   std::uint64_t urgent_ = 0;
   /// Live demand that no engine was held for, in engine-seconds.
-  double shortage_ = 0.0;
+  double liveShortage_ = 0.0;
   /// Longest and mean time from a burst's start until it was met.
-  double longestTakeBack_ = 0.0;
-  double sumTakeBack_ = 0.0;
+  double maxReclaimSeconds_ = 0.0;
+  double totalReclaimSeconds_ = 0.0;
   std::uint64_t bursts_ = 0;
   /// Engines that trainers had work for and held, as a share of all.
   double trainersBusy_ = 0.0;
@@ -82,9 +82,9 @@
 }
 
 double
-SinceBurst(double aSecond)
+SecondsSinceBurst(double aSecond)
 {
-  return std::fmod(aSecond + kBurstPeriod / 2.0, kBurstPeriod);
+  return std::fmod(aSecond + kBurstPeriodSeconds / 2.0, kBurstPeriodSeconds);
 }
 
 double
@@ -92,8 +92,9 @@
 {
   const double wave = 8.0 * std::sin(2.0 * kPi * aSecond / kSecondsPerHour);
   const double noise = 6.0 * (aRandom.Unit() - 0.5);
-  const bool burst = SinceBurst(aSecond) < kBurstLength;
-  return std::max(0.0, kBaseDemand + wave + noise + (burst ? kBurst : 0.0));
+  const bool burst = SecondsSinceBurst(aSecond) < kBurstSeconds;
+  return std::max(0.0,
+                  kBaseDemand + wave + noise + (burst ? kBurstDemand : 0.0));
 }
 
 /// A trainer generates for a while, then trains and wants little.
@@ -105,10 +106,10 @@
   return (generates ? 30.0 : 2.0) + 4.0 * (aRandom.Unit() - 0.5);
 }
 
-class Run
+class AllocationRun
 {
 public:
-  explicit Run(const Plan& aPlan)
+  explicit AllocationRun(const AllocationPlan& aPlan)
     : plan_(aPlan)
     , allocation_(aPlan.policy_)
   {
@@ -120,7 +121,7 @@
     allocation_.SetEngines(engines);
   }
 
-  Outcome Go()
+  AllocationOutcome Simulate()
   {
     const auto end = static_cast<std::uint64_t>(kSecondsPerHour) * kHours;
     for (std::uint64_t second = 0; second < end; ++second) {
@@ -137,22 +138,22 @@
       static_cast<Duration::rep>(aSecond * 1e6) } };
     const double live = LiveDemand(aSecond, random_);
     // Reports are a second old, and show no more than what engines run.
-    allocation_.OnDemand(kLive,
-                         aSecond == 0.0 ? kBaseDemand
-                                        : std::min(lastLive_, Holds(kLive)),
-                         now);
+    allocation_.OnDemand(
+      kLive,
+      aSecond == 0.0 ? kBaseDemand : std::min(lastLive_, HeldEngines(kLive)),
+      now);
     lastLive_ = live;
     for (std::size_t i = 0; i < kTrainers.size(); ++i) {
       const double demand = TrainerDemand(i, aSecond, random_);
       const EngineUserId id{ kTrainers.at(i) };
       allocation_.OnDemand(id, demand, now);
-      out_.trainersBusy_ += std::min(demand, Holds(id));
+      out_.trainersBusy_ += std::min(demand, HeldEngines(id));
     }
-    if (!plan_.fixed_ || aSecond == 0.0) {
+    if (!plan_.isFixed_ || aSecond == 0.0) {
       CountMoves(allocation_.Decide(now), aSecond);
     }
-    const double held = Effective(aSecond);
-    out_.shortage_ += std::max(0.0, live - held);
+    const double held = ReadyLiveEngines(aSecond);
+    out_.liveShortage_ += std::max(0.0, live - held);
     TrackBurst(aSecond, held >= live);
   }
 
@@ -172,54 +173,54 @@
     }
   }
 
-  [[nodiscard]] double Holds(const EngineUserId& aUser) const
+  [[nodiscard]] double HeldEngines(const EngineUserId& aUser) const
   {
     return static_cast<double>(allocation_.Held(aUser));
   }
 
   /// @returns live callers' engines less those whose move is under way
-  double Effective(double aSecond)
+  double ReadyLiveEngines(double aSecond)
   {
     std::erase_if(arriving_, [aSecond](double aAt) { return aAt <= aSecond; });
-    return Holds(kLive) - static_cast<double>(arriving_.size());
+    return HeldEngines(kLive) - static_cast<double>(arriving_.size());
   }
 
   void TrackBurst(double aSecond, bool aMet)
   {
-    const double since = SinceBurst(aSecond);
+    const double since = SecondsSinceBurst(aSecond);
     if (since == 0.0) {
-      waiting_ = true;
+      burstPending_ = true;
     }
-    if (!waiting_ || (!aMet && since < kBurstLength)) {
+    if (!burstPending_ || (!aMet && since < kBurstSeconds)) {
       return;
     }
-    waiting_ = false;
+    burstPending_ = false;
     const double took = since;
-    out_.longestTakeBack_ = std::max(out_.longestTakeBack_, took);
-    out_.sumTakeBack_ += took;
+    out_.maxReclaimSeconds_ = std::max(out_.maxReclaimSeconds_, took);
+    out_.totalReclaimSeconds_ += took;
     ++out_.bursts_;
   }
 
-  const Plan& plan_;
+  const AllocationPlan& plan_;
   Allocation allocation_;
   Random random_{ 11 };
   double lastLive_ = 0.0;
   std::vector<double> arriving_;
-  Outcome out_;
-  bool waiting_ = false;
+  AllocationOutcome out_;
+  bool burstPending_ = false;
 };
 
 void
-Print(const Plan& aPlan, const Outcome& aOut)
+Print(const AllocationPlan& aPlan, const AllocationOutcome& aOut)
 {
   std::cout << std::left << std::setw(22) << aPlan.name_ << std::right
             << std::fixed << std::setprecision(1)
             << " moves_per_h=" << static_cast<double>(aOut.moves_) / kHours
             << " urgent_per_h=" << static_cast<double>(aOut.urgent_) / kHours
             << " take_back_mean_s="
-            << aOut.sumTakeBack_ / static_cast<double>(aOut.bursts_)
-            << " take_back_max_s=" << aOut.longestTakeBack_
-            << " live_short_engine_s_per_h=" << aOut.shortage_ / kHours
+            << aOut.totalReclaimSeconds_ / static_cast<double>(aOut.bursts_)
+            << " take_back_max_s=" << aOut.maxReclaimSeconds_
+            << " live_short_engine_s_per_h=" << aOut.liveShortage_ / kHours
             << " trainers_busy=" << std::setprecision(3) << aOut.trainersBusy_
             << '\n';
 }
@@ -233,13 +234,13 @@
     std::cerr << "marjoram-load: allocation takes no options\n";
     return kExitBadInput;
   }
-  const std::array<Plan, 3> plans{ {
+  const std::array<AllocationPlan, 3> plans{ {
     { "fixed shares", {}, true },
     { "no hysteresis", NoHysteresis(), false },
     { "hysteresis", {}, false },
   } };
-  for (const Plan& plan : plans) {
-    Print(plan, Run(plan).Go());
+  for (const AllocationPlan& plan : plans) {
+    Print(plan, AllocationRun(plan).Simulate());
   }
   return kExitOk;
 }
--- a/src/programs/load/bench_entry.cpp
+++ b/src/programs/load/bench_entry.cpp
@@ -21,10 +21,10 @@
 BenchEntry::Submit(BenchRequest aRequest)
 {
   const TicketId ticket{ ++lastTicket_ };
-  Flight flight;
-  flight.outcome_.request_ = std::move(aRequest);
-  const RequestSpec spec = flight.outcome_.request_.spec_;
-  flights_.emplace(ticket, std::move(flight));
+  PendingRequest pending;
+  pending.outcome_.request_ = std::move(aRequest);
+  const RequestSpec spec = pending.outcome_.request_.spec_;
+  pending_.emplace(ticket, std::move(pending));
   if (!queue_->Enqueue({ ticket, spec }, loop_.Now())) {
     Finish(ticket, BenchEnd::Refused);
     return;
@@ -32,17 +32,17 @@
   if (spec.deadline_ != kNever) {
     loop_.At(spec.deadline_, [this, ticket] { OnDeadline(ticket); });
   }
-  Pump();
+  DispatchQueued();
 }
 
 void
-BenchEntry::Pump()
+BenchEntry::DispatchQueued()
 {
-  for (const TicketId doomed : queue_->TakeDoomed(loop_.Now())) {
-    Finish(doomed, BenchEnd::Refused);
+  for (const TicketId infeasible : queue_->TakeInfeasible(loop_.Now())) {
+    Finish(infeasible, BenchEnd::Refused);
   }
   while (const auto ticket = queue_->Next(loop_.Now())) {
-    const auto engine = Decide(flights_.at(*ticket));
+    const auto engine = PickEngine(pending_.at(*ticket));
     if (!engine) {
       return;
     }
@@ -52,12 +52,12 @@
 }
 
 std::optional<EngineIndex>
-BenchEntry::Decide(const Flight& aFlight)
+BenchEntry::PickEngine(const PendingRequest& aPending)
 {
   using RealClock = std::chrono::steady_clock;
   const auto start = RealClock::now();
-  const auto engine =
-    routes_->Pick(aFlight.outcome_.request_.spec_, aFlight.tried_, loop_.Now());
+  const auto engine = routes_->Pick(
+    aPending.outcome_.request_.spec_, aPending.tried_, loop_.Now());
   const auto took = RealClock::now() - start;
   ++cost_.decisions_;
   cost_.nanos_ += static_cast<std::uint64_t>(
@@ -68,12 +68,12 @@
 void
 BenchEntry::Send(TicketId aTicket, EngineIndex aEngine)
 {
-  Flight& flight = flights_.at(aTicket);
-  flight.running_ = true;
-  flight.sentAt_ = loop_.Now();
-  flight.outcome_.engine_ = aEngine;
-  ++flight.outcome_.attempts_;
-  const BenchRequest& request = flight.outcome_.request_;
+  PendingRequest& pending = pending_.at(aTicket);
+  pending.running_ = true;
+  pending.sentAt_ = loop_.Now();
+  pending.outcome_.engine_ = aEngine;
+  ++pending.outcome_.attempts_;
+  const BenchRequest& request = pending.outcome_.request_;
   routes_->OnSent(aEngine, request.spec_, loop_.Now());
   engines_[aEngine.Get()]->Submit(request.job_,
                                   [this, aTicket](const EngineResult& aResult) {
@@ -84,61 +84,61 @@
 void
 BenchEntry::OnResult(TicketId aTicket, const EngineResult& aResult)
 {
-  const auto found = flights_.find(aTicket);
-  if (found == flights_.end()) {
+  const auto found = pending_.find(aTicket);
+  if (found == pending_.end()) {
     return;
   }
-  Flight& flight = found->second;
-  flight.running_ = false;
-  const RequestSpec& spec = flight.outcome_.request_.spec_;
-  routes_->OnDone({ flight.outcome_.engine_, flight.sentAt_, false, aResult },
+  PendingRequest& pending = found->second;
+  pending.running_ = false;
+  const RequestSpec& spec = pending.outcome_.request_.spec_;
+  routes_->OnDone({ pending.outcome_.engine_, pending.sentAt_, false, aResult },
                   spec,
                   loop_.Now());
   queue_->OnDone(aTicket, spec, aResult, loop_.Now());
-  flight.outcome_.cacheHit_ = aResult.cacheHit_;
-  if (aResult.whole_) {
-    Finish(aTicket, BenchEnd::Whole);
+  pending.outcome_.cacheHit_ = aResult.cacheHit_;
+  if (aResult.complete_) {
+    Finish(aTicket, BenchEnd::Complete);
   } else {
-    flight.outcome_.wastedTokens_ += aResult.generatedTokens_;
-    flight.tried_.push_back(flight.outcome_.engine_);
-    if (flight.tried_.size() >= engines_.size() ||
+    pending.outcome_.wastedTokens_ += aResult.generatedTokens_;
+    pending.tried_.push_back(pending.outcome_.engine_);
+    if (pending.tried_.size() >= engines_.size() ||
         !queue_->Enqueue({ aTicket, spec }, loop_.Now())) {
       Finish(aTicket, BenchEnd::Failed);
     }
   }
-  Pump();
+  DispatchQueued();
 }
 
 void
 BenchEntry::OnDeadline(TicketId aTicket)
 {
-  const auto found = flights_.find(aTicket);
-  if (found == flights_.end()) {
+  const auto found = pending_.find(aTicket);
+  if (found == pending_.end()) {
     return;
   }
-  Flight& flight = found->second;
-  if (!flight.running_) {
+  PendingRequest& pending = found->second;
+  if (!pending.running_) {
     queue_->Remove(aTicket, false, loop_.Now());
     Finish(aTicket, BenchEnd::Late);
     return;
   }
-  const BenchRequest& request = flight.outcome_.request_;
-  const EngineIndex engine = flight.outcome_.engine_;
+  const BenchRequest& request = pending.outcome_.request_;
+  const EngineIndex engine = pending.outcome_.engine_;
   const EngineResult result{ false,
                              engines_[engine.Get()]->Cancel(request.job_.id_),
                              false };
-  flight.outcome_.wastedTokens_ += result.generatedTokens_;
+  pending.outcome_.wastedTokens_ += result.generatedTokens_;
   routes_->OnDone(
-    { engine, flight.sentAt_, true, result }, request.spec_, loop_.Now());
+    { engine, pending.sentAt_, true, result }, request.spec_, loop_.Now());
   queue_->OnDone(aTicket, request.spec_, result, loop_.Now());
   Finish(aTicket, BenchEnd::Late);
-  Pump();
+  DispatchQueued();
 }
 
 void
 BenchEntry::Finish(TicketId aTicket, BenchEnd aEnd)
 {
-  auto node = flights_.extract(aTicket);
+  auto node = pending_.extract(aTicket);
   BenchOutcome& outcome = node.mapped().outcome_;
   outcome.end_ = aEnd;
   outcome.at_ = loop_.Now();
--- a/src/programs/load/bench_entry.hpp
+++ b/src/programs/load/bench_entry.hpp
@@ -14,7 +14,7 @@
 /// How a request of the bench ended.
 enum class BenchEnd : std::uint8_t
 {
-  Whole,
+  Complete,
   /// Refused before any engine had it.
   Refused,
   /// Its deadline passed; its engine, if any, stopped it.
@@ -27,7 +27,7 @@
 struct BenchOutcome
 {
   BenchRequest request_;
-  BenchEnd end_ = BenchEnd::Whole;
+  BenchEnd end_ = BenchEnd::Complete;
   TimePoint at_;
   /// The last engine; of no meaning if it was never sent.
   EngineIndex engine_;
@@ -58,12 +58,12 @@
 
   void Submit(BenchRequest aRequest);
   /// Sends what can be sent now.
-  void Pump();
+  void DispatchQueued();
   [[nodiscard]] RoutePolicy& Routes() noexcept { return *routes_; }
   [[nodiscard]] const DecisionCost& Cost() const noexcept { return cost_; }
 
 private:
-  struct Flight
+  struct PendingRequest
   {
     BenchOutcome outcome_;
     std::vector<EngineIndex> tried_;
@@ -71,7 +71,8 @@
     TimePoint sentAt_;
   };
 
-  [[nodiscard]] std::optional<EngineIndex> Decide(const Flight& aFlight);
+  [[nodiscard]] std::optional<EngineIndex> PickEngine(
+    const PendingRequest& aPending);
   void Send(TicketId aTicket, EngineIndex aEngine);
   void OnResult(TicketId aTicket, const EngineResult& aResult);
   void OnDeadline(TicketId aTicket);
@@ -82,7 +83,7 @@
   std::unique_ptr<RoutePolicy> routes_;
   std::unique_ptr<QueuePolicy> queue_;
   OutcomeSink sink_;
-  std::unordered_map<TicketId, Flight> flights_;
+  std::unordered_map<TicketId, PendingRequest> pending_;
   std::uint64_t lastTicket_ = 0;
   DecisionCost cost_;
 };
--- a/src/programs/load/decide.cpp
+++ b/src/programs/load/decide.cpp
@@ -14,7 +14,7 @@
 namespace po = boost::program_options;
 using namespace bench;
 
-constexpr std::uint64_t kMostSeconds = 3600;
+constexpr std::uint64_t kMaxSeconds = 3600;
 
 constexpr auto kScenarios = std::to_array<DecideScenario>({
   { "routing", "policies at 50, 90 and 150% load", RunRoutingScenario },
@@ -89,7 +89,7 @@
     std::cout << described;
     return kExitOk;
   }
-  if (seconds == 0 || seconds > kMostSeconds ||
+  if (seconds == 0 || seconds > kMaxSeconds ||
       FindScenario(aOptions.scenario_) == nullptr) {
     std::cerr << "marjoram-load: --seconds 1 to 3600; " << list << '\n';
     return kExitBadInput;
--- a/src/programs/load/decide.hpp
+++ b/src/programs/load/decide.hpp
@@ -41,8 +41,8 @@
   std::optional<double> wastedShare_;
   std::optional<double> cacheHitShare_;
   /// Of all trainers the least of share received over share due.
-  std::optional<double> worstShareOverDue_;
-  std::optional<double> bestShareOverDue_;
+  std::optional<double> worstFairShareRatio_;
+  std::optional<double> bestFairShareRatio_;
   /// Cost of whole requests a second.
   std::optional<double> costPerSecond_;
   /// 99th percentile of the time from arrival to refusal.
@@ -96,7 +96,7 @@
 PrintJson(const DecideRows& aRows, std::ostream& aOut);
 
 /// Collects values of one measure.
-class Samples
+class Distribution
 {
 public:
   void Add(double aValue) { values_.push_back(aValue); }
--- a/src/programs/load/decide_cost.cpp
+++ b/src/programs/load/decide_cost.cpp
@@ -74,7 +74,7 @@
   spec.minVersion_ = WeightVersion{ 1 };
   spec.promptTokens_ = 400;
   spec.outputTokens_ = 30;
-  Samples samples;
+  Distribution samples;
   for (std::size_t batch = 0; batch < kBatches; ++batch) {
     std::vector<UpstreamPtr> picked;
     picked.reserve(kPerBatch);
@@ -113,7 +113,7 @@
 double
 TimeChanges(Router& aRouter, const std::vector<UpstreamView>& aViews)
 {
-  Samples samples;
+  Distribution samples;
   for (std::size_t i = 0; i < kChanges; ++i) {
     const UpstreamReport report = MakeReport(2 + i, 0);
     const auto start = RealClock::now();
@@ -138,7 +138,7 @@
   }
   RouteTable table;
   table.Apply(std::move(config));
-  Samples samples;
+  Distribution samples;
   std::size_t found = 0;
   for (std::size_t batch = 0; batch < kBatches; ++batch) {
     const std::size_t route = (batch * 7919) % aRoutes;
--- a/src/programs/load/decide_faults.cpp
+++ b/src/programs/load/decide_faults.cpp
@@ -9,11 +9,11 @@
 
 constexpr double kLoad = 0.7;
 constexpr double kSlowdown = 10;
-constexpr EngineIndex kVictim{ 4 };
-constexpr TimePoint kFaultAt{ std::chrono::seconds(30) };
-constexpr TimePoint kFaultEnds{ std::chrono::seconds(70) };
+constexpr EngineIndex kFaultyEngine{ 4 };
+constexpr TimePoint kFaultStart{ std::chrono::seconds(30) };
+constexpr TimePoint kFaultEnd{ std::chrono::seconds(70) };
 /// The share of live work is taken from this long after the fault.
-constexpr Duration kReaction = std::chrono::seconds(2);
+constexpr Duration kReactionTime = std::chrono::seconds(2);
 
 /// One fault: how it starts and ends.
 struct Fault
@@ -33,35 +33,35 @@
 } };
 
 /// What live callers saw that came during the fault.
-struct FaultView
+struct LiveFaultCounts
 {
   std::uint64_t live_ = 0;
   /// Late, or failed in the caller's eyes.
-  std::uint64_t harmed_ = 0;
+  std::uint64_t notInTime_ = 0;
   std::uint64_t afterReaction_ = 0;
-  std::uint64_t atVictim_ = 0;
+  std::uint64_t atFaultyEngine_ = 0;
 
   void Count(const BenchOutcome& aOutcome)
   {
     const RequestSpec& spec = aOutcome.request_.spec_;
-    if (spec.class_ != RequestClass::Live || spec.arrived_ < kFaultAt ||
-        spec.arrived_ >= kFaultEnds) {
+    if (spec.class_ != RequestClass::Live || spec.arrived_ < kFaultStart ||
+        spec.arrived_ >= kFaultEnd) {
       return;
     }
     ++live_;
-    harmed_ += aOutcome.end_ == BenchEnd::Whole ? 0 : 1;
-    if (spec.arrived_ >= kFaultAt + kReaction) {
+    notInTime_ += aOutcome.end_ == BenchEnd::Complete ? 0 : 1;
+    if (spec.arrived_ >= kFaultStart + kReactionTime) {
       ++afterReaction_;
-      atVictim_ += aOutcome.engine_ == kVictim ? 1 : 0;
+      atFaultyEngine_ += aOutcome.engine_ == kFaultyEngine ? 1 : 0;
     }
   }
 };
 
 double
-Share(std::uint64_t aPart, std::uint64_t aWhole)
+Share(std::uint64_t aPart, std::uint64_t aTotal)
 {
   return static_cast<double>(aPart) /
-         static_cast<double>(std::max<std::uint64_t>(aWhole, 1));
+         static_cast<double>(std::max<std::uint64_t>(aTotal, 1));
 }
 
 DecideRow
@@ -73,15 +73,17 @@
   settings.seed_ = aOptions.seed_;
   Fleet fleet(settings, aPolicy);
   OfferMixedLoad(fleet, settings, kLoad);
-  FaultView view;
-  fleet.OnOutcome([&](const BenchOutcome& aOutcome) { view.Count(aOutcome); });
-  fleet.Loop().At(kFaultAt, [&] { aFault.start_(fleet.Engine(kVictim)); });
-  fleet.Loop().At(kFaultEnds, [&] { aFault.end_(fleet.Engine(kVictim)); });
+  LiveFaultCounts counts;
+  fleet.OnOutcome(
+    [&](const BenchOutcome& aOutcome) { counts.Count(aOutcome); });
+  fleet.Loop().At(kFaultStart,
+                  [&] { aFault.start_(fleet.Engine(kFaultyEngine)); });
+  fleet.Loop().At(kFaultEnd, [&] { aFault.end_(fleet.Engine(kFaultyEngine)); });
   fleet.Run(aOptions.length_);
   DecideRow row = fleet.Row(
     std::string(aFault.name_) + " " + std::string(aPolicy.name_), kLoad);
-  row.liveLateShare_ = Share(view.harmed_, view.live_);
-  row.slowShare_ = Share(view.atVictim_, view.afterReaction_);
+  row.liveLateShare_ = Share(counts.notInTime_, counts.live_);
+  row.slowShare_ = Share(counts.atFaultyEngine_, counts.afterReaction_);
   return row;
 }
 
@@ -91,7 +93,7 @@
 RunFaultsScenario(const DecideOptions& aOptions)
 {
   std::vector<RoutePolicySpec> policies = BaselinePolicies();
-  policies.push_back(OurPolicy());
+  policies.push_back(LibraryPolicy());
   DecideRows rows;
   for (const Fault& fault : kFaults) {
     for (const RoutePolicySpec& policy : policies) {
--- a/src/programs/load/decide_groups.cpp
+++ b/src/programs/load/decide_groups.cpp
@@ -15,22 +15,22 @@
 constexpr std::size_t kEngines = 9;
 constexpr std::uint64_t kGroupSize = 8;
 /// Groups in progress; half of the slots.
-constexpr std::uint64_t kGroups = 27;
+constexpr std::uint64_t kGroupsInProgress = 27;
 constexpr std::size_t kSlots = 48;
 constexpr double kMeanTokens = 150;
-constexpr std::uint64_t kMostTokens = 512;
+constexpr std::uint64_t kMaxTokens = 512;
 constexpr double kSlowdown = 10;
-constexpr Duration kSlowFor = std::chrono::seconds(20);
-constexpr Duration kSlowEvery = std::chrono::seconds(40);
-constexpr Duration kReview = std::chrono::milliseconds(100);
+constexpr Duration kSlowTime = std::chrono::seconds(20);
+constexpr Duration kSlowPeriod = std::chrono::seconds(40);
+constexpr Duration kReviewPeriod = std::chrono::milliseconds(100);
 
 /// A way with late members.
 struct GroupVariant
 {
   std::string_view name_;
-  bool act_ = false;
+  bool actsOnStragglers_ = false;
   /// Whether engines tell their progress, so that members can be resumed.
-  bool progress_ = false;
+  bool reportsProgress_ = false;
 };
 
 constexpr std::array<GroupVariant, 3> kGroupVariants{ {
@@ -55,11 +55,11 @@
 
   DecideRow Run(Duration aLength)
   {
-    for (std::uint64_t i = 0; i < kGroups; ++i) {
+    for (std::uint64_t i = 0; i < kGroupsInProgress; ++i) {
       StartGroup();
     }
-    loop_.Every(kReview, [this] { Review(); });
-    loop_.Every(kSlowEvery, [this] { SlowOne(); });
+    loop_.Every(kReviewPeriod, [this] { Review(); });
+    loop_.Every(kSlowPeriod, [this] { SlowDownOneEngine(); });
     loop_.RunUntil(TimePoint{ aLength });
     DecideRow row;
     row.policy_ = variant_.name_;
@@ -85,7 +85,7 @@
   };
   struct Group
   {
-    std::uint64_t missing_ = kGroupSize;
+    std::uint64_t remaining_ = kGroupSize;
     TimePoint startedAt_;
   };
 
@@ -99,17 +99,17 @@
       Member& member = members_[ticket];
       member.group_ = group;
       member.tokens_ =
-        std::min(kMostTokens, static_cast<std::uint64_t>(drawn) + 1);
-      policy_.OnStarted({ ticket, group, kMeanTokens, variant_.progress_ },
-                        loop_.Now());
+        std::min(kMaxTokens, static_cast<std::uint64_t>(drawn) + 1);
+      policy_.OnStarted(
+        { ticket, group, kMeanTokens, variant_.reportsProgress_ }, loop_.Now());
       Start(ticket, 0, kEngines);
     }
   }
 
-  void Start(TicketId aTicket, std::uint64_t aResumed, std::size_t aNot)
+  void Start(TicketId aTicket, std::uint64_t aResumed, std::size_t aExcluded)
   {
     Member& member = members_.at(aTicket);
-    const std::size_t engine = LeastLoaded(aNot);
+    const std::size_t engine = LeastLoaded(aExcluded);
     EngineJob job;
     job.id_ = GenerationId{ ++lastJob_ };
     job.class_ = RequestClass::Trainer;
@@ -130,13 +130,13 @@
     for (const EngineRun& run : member.runs_) {
       --load_[run.engine_];
       if (run.job_ != aJob) {
-        Waste(engines_[run.engine_]->Cancel(run.job_));
+        CountWasted(engines_[run.engine_]->Cancel(run.job_));
       }
     }
     useful_ += static_cast<double>(member.tokens_);
     policy_.OnEnded(aTicket, static_cast<double>(member.tokens_), loop_.Now());
     Group& group = groups_.at(member.group_);
-    if (--group.missing_ > 0) {
+    if (--group.remaining_ > 0) {
       return;
     }
     const Duration took = loop_.Now() - group.startedAt_;
@@ -145,26 +145,26 @@
     StartGroup();
   }
 
-  void Waste(std::uint64_t aTokens)
+  void CountWasted(std::uint64_t aTokens)
   {
     wasted_ += static_cast<double>(aTokens);
     policy_.OnWasted(static_cast<double>(aTokens));
   }
 
-  [[nodiscard]] std::size_t LeastLoaded(std::size_t aNot)
+  [[nodiscard]] std::size_t LeastLoaded(std::size_t aExcluded)
   {
     const std::size_t first = random_.Below(kEngines);
-    std::size_t best = first == aNot ? (first + 1) % kEngines : first;
+    std::size_t best = first == aExcluded ? (first + 1) % kEngines : first;
     for (std::size_t i = 0; i < kEngines; ++i) {
       const std::size_t engine = (first + i) % kEngines;
-      best = engine != aNot && load_[engine] < load_[best] ? engine : best;
+      best = engine != aExcluded && load_[engine] < load_[best] ? engine : best;
     }
     return best;
   }
 
   void Review()
   {
-    if (!variant_.act_) {
+    if (!variant_.actsOnStragglers_) {
       return;
     }
     for (const auto& [ticket, member] : members_) {
@@ -177,11 +177,11 @@
       idle += load < kSlots ? kSlots - load : 0;
     }
     for (const StragglerAction& action : policy_.Review(loop_.Now(), idle)) {
-      Act(action);
+      Apply(action);
     }
   }
 
-  void Act(const StragglerAction& aAction)
+  void Apply(const StragglerAction& aAction)
   {
     Member& member = members_.at(aAction.ticket_);
     const EngineRun run = member.runs_.front();
@@ -194,11 +194,11 @@
     Start(aAction.ticket_, resumed, run.engine_);
   }
 
-  void SlowOne()
+  void SlowDownOneEngine()
   {
     FakeEngine& engine = *engines_[random_.Below(kEngines)];
     engine.SetSlowdown(kSlowdown);
-    loop_.After(kSlowFor, [&engine] { engine.SetSlowdown(1); });
+    loop_.After(kSlowTime, [&engine] { engine.SetSlowdown(1); });
   }
 
   GroupVariant variant_;
@@ -209,7 +209,7 @@
   StragglerPolicy policy_;
   std::map<TicketId, Member> members_;
   std::map<std::uint64_t, Group> groups_;
-  Samples seconds_;
+  Distribution seconds_;
   double useful_ = 0;
   double wasted_ = 0;
   std::uint64_t lastGroup_ = 0;
--- a/src/programs/load/decide_lead.cpp
+++ b/src/programs/load/decide_lead.cpp
@@ -21,10 +21,10 @@
 constexpr std::uint64_t kEngineLimit = 48;
 /// After an announcement the first engine has the version this much later,
 /// and each further one after another pause.
-constexpr Duration kFirstSwap{ 500'000 };
-constexpr Duration kNextSwap{ 200'000 };
+constexpr Duration kFirstSwapDelay{ 500'000 };
+constexpr Duration kSwapInterval{ 200'000 };
 /// Of a thousand generations, how many fail.
-constexpr std::uint64_t kFailures = 5;
+constexpr std::uint64_t kFailuresPerMille = 5;
 constexpr std::array kLoads{ 0.6, 0.9, 1.2 };
 
 /// One way to lead and its staleness bound.
@@ -103,7 +103,7 @@
     row.wastedShare_ = Share(generated_ - ledger_.Tokens().kept_, generated_);
     row.overBound_ = static_cast<double>(overBound_);
     row.staleness_ = Share(staleness_, delivered_);
-    row.steps_ = static_cast<double>(wholeSteps_);
+    row.steps_ = static_cast<double>(completedSteps_);
     return row;
   }
 
@@ -111,11 +111,11 @@
   [[nodiscard]] Duration FirstStep() const noexcept { return firstStep_; }
 
 private:
-  static double Share(std::uint64_t aPart, std::uint64_t aWhole)
+  static double Share(std::uint64_t aPart, std::uint64_t aTotal)
   {
-    return aWhole == 0
+    return aTotal == 0
              ? 0
-             : static_cast<double>(aPart) / static_cast<double>(aWhole);
+             : static_cast<double>(aPart) / static_cast<double>(aTotal);
   }
 
   void BeginStep()
@@ -126,7 +126,7 @@
     for (; opened_ < step_ + case_.ahead_; ++opened_) {
       OpenStep(opened_ + 1);
     }
-    Fill();
+    StartGenerations();
   }
 
   void OpenStep(std::uint64_t aStep)
@@ -158,13 +158,14 @@
     return ledger_.StartNext(loop_.Now());
   }
 
-  void Fill()
+  void StartGenerations()
   {
     while (inFlight_ < kInFlight) {
       if (!pending_) {
         pending_ = NextStart();
       }
-      Sampler* sampler = pending_ ? Choose(pending_->minVersion_) : nullptr;
+      Sampler* sampler =
+        pending_ ? ChooseSampler(pending_->minVersion_) : nullptr;
       if (sampler == nullptr) {
         return;
       }
@@ -173,12 +174,12 @@
     }
   }
 
-  Sampler* Choose(WeightVersion aLeast)
+  Sampler* ChooseSampler(WeightVersion aMinVersion)
   {
     Sampler* best = nullptr;
     for (Sampler& sampler : samplers_) {
       const bool eligible =
-        sampler.version_ >= aLeast && sampler.inFlight_ < kEngineLimit;
+        sampler.version_ >= aMinVersion && sampler.inFlight_ < kEngineLimit;
       if (eligible &&
           (best == nullptr || sampler.inFlight_ < best->inFlight_)) {
         best = &sampler;
@@ -196,7 +197,7 @@
     job.class_ = RequestClass::Trainer;
     job.promptTokens_ = kPromptTokens;
     job.outputTokens_ = OutputTokens(random_);
-    const bool fails = random_.Below(1000) < kFailures;
+    const bool fails = random_.Below(1000) < kFailuresPerMille;
     const WeightVersion from = aSampler.version_;
     aSampler.engine_->Submit(
       job, [this, aSample, &aSampler, from, fails](const EngineResult& aEnd) {
@@ -205,7 +206,7 @@
         generated_ += aEnd.generatedTokens_;
         Finish(aSample, from, aSampler.version_, fails, aEnd.generatedTokens_);
         TakeReady();
-        Fill();
+        StartGenerations();
       });
   }
 
@@ -264,13 +265,13 @@
 
   void Train()
   {
-    if (wholeSteps_ == 0) {
+    if (completedSteps_ == 0) {
       firstStep_ = loop_.Now() - waitingSince_;
       countedFrom_ = loop_.Now();
     } else {
       idle_ += loop_.Now() - waitingSince_;
     }
-    ++wholeSteps_;
+    ++completedSteps_;
     waitingSince_ = kNever;
     ledger_.Close(StepId{ step_ });
     loop_.After(trainTime_, [this] {
@@ -285,9 +286,9 @@
   void Rollout(WeightVersion aVersion)
   {
     for (std::size_t i = 0; i < kEngines; ++i) {
-      loop_.After(kFirstSwap + kNextSwap * i, [this, i, aVersion] {
+      loop_.After(kFirstSwapDelay + kSwapInterval * i, [this, i, aVersion] {
         samplers_[i].version_ = std::max(samplers_[i].version_, aVersion);
-        Fill();
+        StartGenerations();
       });
     }
   }
@@ -310,7 +311,7 @@
   TimePoint countedFrom_;
   Duration idle_{ 0 };
   Duration firstStep_{ 0 };
-  std::uint64_t wholeSteps_ = 0;
+  std::uint64_t completedSteps_ = 0;
   std::uint64_t generated_ = 0;
   std::uint64_t delivered_ = 0;
   std::uint64_t staleness_ = 0;
--- a/src/programs/load/decide_output.cpp
+++ b/src/programs/load/decide_output.cpp
@@ -28,8 +28,8 @@
   { "goodput", &DecideRow::goodputShare_, 3 },
   { "wasted", &DecideRow::wastedShare_, 4 },
   { "cache_hits", &DecideRow::cacheHitShare_, 3 },
-  { "worst_share", &DecideRow::worstShareOverDue_, 3 },
-  { "best_share", &DecideRow::bestShareOverDue_, 3 },
+  { "worst_share", &DecideRow::worstFairShareRatio_, 3 },
+  { "best_share", &DecideRow::bestFairShareRatio_, 3 },
   { "cost_per_s", &DecideRow::costPerSecond_, 0 },
   { "held_p99_ms", &DecideRow::refusedAfterMillis_, 0 },
   { "slow_share", &DecideRow::slowShare_, 4 },
@@ -53,7 +53,7 @@
 } // namespace
 
 double
-Samples::Quantile(double aShare) const
+Distribution::Quantile(double aShare) const
 {
   if (values_.empty()) {
     return 0;
--- a/src/programs/load/decide_overload.cpp
+++ b/src/programs/load/decide_overload.cpp
@@ -111,7 +111,7 @@
         RunOnce(aOptions, mix, load, "by arrival", MakeClassQueue));
       for (const QueueVariant& variant : kOverloadVariants) {
         rows.push_back(RunOnce(aOptions, mix, load, variant.name_, [&] {
-          return MakeSharedQueue(variant, {});
+          return MakeAdmissionQueue(variant, {});
         }));
       }
     }
--- a/src/programs/load/decide_routing.cpp
+++ b/src/programs/load/decide_routing.cpp
@@ -18,7 +18,7 @@
 std::unique_ptr<QueuePolicy>
 MakeAdmission()
 {
-  return MakeSharedQueue({ "admission", {}, kEntrySlots }, {});
+  return MakeAdmissionQueue({ "admission", {}, kEntrySlots }, {});
 }
 
 DecideRow
@@ -59,14 +59,15 @@
 RunRoutingScenario(const DecideOptions& aOptions)
 {
   std::vector<RoutePolicySpec> policies = BaselinePolicies();
-  policies.push_back(OurPolicy());
-  policies.insert(policies.end(), OurVariants().begin(), OurVariants().end());
+  policies.push_back(LibraryPolicy());
+  policies.insert(
+    policies.end(), LibraryVariants().begin(), LibraryVariants().end());
   DecideRows rows;
   for (const double load : kLoads) {
     for (const RoutePolicySpec& policy : policies) {
       rows.push_back(RunOnce(aOptions, policy, MakeClassQueue, load));
     }
-    rows.push_back(RunOnce(aOptions, OurPolicy(), MakeAdmission, load));
+    rows.push_back(RunOnce(aOptions, LibraryPolicy(), MakeAdmission, load));
     rows.back().policy_ = "ours-and-admission";
   }
   ScaleGoodput(rows);
--- a/src/programs/load/decide_sharing.cpp
+++ b/src/programs/load/decide_sharing.cpp
@@ -14,7 +14,7 @@
 constexpr std::array<std::uint64_t, kTrainers> kWeights{ 1, 1, 2 };
 constexpr std::array<double, kTrainers> kMeanTokens{ 500, 50, 50 };
 /// Tokens that requests ask for at most; what they generate is learned.
-constexpr std::uint64_t kAskedTokens = 2048;
+constexpr std::uint64_t kRequestedTokens = 2048;
 
 /// How trainers send.
 struct SendPattern
@@ -92,18 +92,18 @@
     , grouped_(aPattern.grouped_.at(aIndex))
     , pause_(aPattern.pause_)
   {
-    shape_ = { 100, 0, 0, kMeanTokens.at(aIndex), kAskedTokens };
+    shape_ = { 100, 0, 0, kMeanTokens.at(aIndex), kRequestedTokens };
   }
 
   void SendGroup()
   {
-    missing_ = outstanding_;
+    remaining_ = outstanding_;
     for (std::size_t i = 0; i < outstanding_; ++i) {
       SendOne();
     }
   }
 
-  void OnWhole(const BenchOutcome& aOutcome, bool aMeasured)
+  void OnComplete(const BenchOutcome& aOutcome, bool aMeasured)
   {
     const BenchRequest& request = aOutcome.request_;
     if (aMeasured) {
@@ -112,7 +112,7 @@
     }
     if (!grouped_) {
       fleet_.Loop().After(Duration(0), [this] { SendOne(); });
-    } else if (--missing_ == 0) {
+    } else if (--remaining_ == 0) {
       fleet_.Loop().After(pause_, [this] { SendGroup(); });
     }
   }
@@ -126,7 +126,7 @@
     BenchRequest request =
       maker_.Make(shape_, RequestClass::Trainer, 0, fleet_.Loop().Now());
     request.spec_.trainer_ = id_;
-    request.spec_.outputTokens_ = kAskedTokens;
+    request.spec_.outputTokens_ = kRequestedTokens;
     fleet_.Submit(std::move(request));
   }
 
@@ -137,13 +137,13 @@
   bool grouped_;
   Duration pause_;
   RequestShape shape_;
-  std::size_t missing_ = 0;
+  std::size_t remaining_ = 0;
   double cost_ = 0;
 };
 
 /// @returns each trainer's share of the cost over its due share, and the cost
 std::pair<std::vector<double>, double>
-SharesOverDue(const std::vector<std::unique_ptr<Sender>>& aSenders)
+FairShareRatios(const std::vector<std::unique_ptr<Sender>>& aSenders)
 {
   double all = 0;
   double weights = 0;
@@ -180,15 +180,15 @@
   }
   fleet.OnOutcome([&](const BenchOutcome& aOutcome) {
     senderOf.at(aOutcome.request_.spec_.trainer_)
-      ->OnWhole(aOutcome, fleet.Loop().Now() >= settings.measureFrom_);
+      ->OnComplete(aOutcome, fleet.Loop().Now() >= settings.measureFrom_);
   });
   fleet.Run(aOptions.length_);
   DecideRow row;
   row.policy_ = std::string(aPattern.name_) + " " + std::string(aName);
   row.load_ = 1;
-  const auto [shares, cost] = SharesOverDue(senders);
-  row.worstShareOverDue_ = *std::min_element(shares.begin(), shares.end());
-  row.bestShareOverDue_ = *std::max_element(shares.begin(), shares.end());
+  const auto [shares, cost] = FairShareRatios(senders);
+  row.worstFairShareRatio_ = *std::min_element(shares.begin(), shares.end());
+  row.bestFairShareRatio_ = *std::max_element(shares.begin(), shares.end());
   const Duration measured = fleet.Loop().Now() - settings.measureFrom_;
   row.costPerSecond_ = cost * 1e6 / static_cast<double>(measured.count());
   return row;
@@ -209,7 +209,7 @@
           { TrainerId{ "trainer-" + std::to_string(i) }, kWeights.at(i) });
       }
       rows.push_back(RunPattern(aOptions, pattern, variant.name_, [&] {
-        return MakeSharedQueue(variant, weights);
+        return MakeAdmissionQueue(variant, weights);
       }));
     }
   }
--- a/src/programs/load/direct_gossip.cpp
+++ b/src/programs/load/direct_gossip.cpp
@@ -69,7 +69,7 @@
   const TimePoint end = Now() + aTime;
   while (Now() < end) {
     clock_.Advance(step_);
-    FailOverdue();
+    FailTimedOut();
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!nodes_[i].stopped_) {
         Dispatch(i, nodes_[i].core_->Tick(Now()));
@@ -85,7 +85,7 @@
     if (const auto* send = std::get_if<GossipSend>(&action)) {
       Deliver(aFrom, *send);
     } else {
-      Answer(aFrom, std::get<GossipReply>(action));
+      DeliverReply(aFrom, std::get<GossipReply>(action));
     }
   }
 }
@@ -96,10 +96,10 @@
   const auto target = byAddress_.find(aSend.address_);
   const std::uint64_t inbound = nextInbound_++;
   const std::size_t to = target == byAddress_.end() ? aFrom : target->second;
-  waiting_[inbound] = { aFrom, aSend.call_, to };
-  overdue_.emplace(Now() + aSend.timeout_, inbound);
-  const GossipMessage message = Carry(aFrom, to, aSend.message_);
-  if (target == byAddress_.end() || !Arrives(aFrom, to)) {
+  pending_[inbound] = { aFrom, aSend.call_, to };
+  timeouts_.emplace(Now() + aSend.timeout_, inbound);
+  const GossipMessage message = PassThroughWire(aFrom, to, aSend.message_);
+  if (target == byAddress_.end() || !IsDelivered(aFrom, to)) {
     return;
   }
   ++nodes_[to].traffic_.handled_;
@@ -108,44 +108,45 @@
 }
 
 void
-DirectGossip::Answer(std::size_t aFrom, const GossipReply& aReply)
+DirectGossip::DeliverReply(std::size_t aFrom, const GossipReply& aReply)
 {
-  const auto it = waiting_.find(aReply.call_.Get());
-  if (it == waiting_.end()) {
+  const auto it = pending_.find(aReply.call_.Get());
+  if (it == pending_.end()) {
     return;
   }
-  const Waiting waiting = it->second;
-  const GossipMessage message = Carry(aFrom, waiting.from_, aReply.message_);
-  if (!Arrives(aFrom, waiting.from_)) {
+  const PendingCall pending = it->second;
+  const GossipMessage message =
+    PassThroughWire(aFrom, pending.from_, aReply.message_);
+  if (!IsDelivered(aFrom, pending.from_)) {
     return;
   }
-  waiting_.erase(it);
-  ++nodes_[waiting.from_].traffic_.handled_;
-  Dispatch(waiting.from_,
-           nodes_[waiting.from_].core_->OnReply(waiting.call_, message, Now()));
+  pending_.erase(it);
+  ++nodes_[pending.from_].traffic_.handled_;
+  Dispatch(pending.from_,
+           nodes_[pending.from_].core_->OnReply(pending.call_, message, Now()));
 }
 
 void
-DirectGossip::FailOverdue()
+DirectGossip::FailTimedOut()
 {
-  while (!overdue_.empty() && overdue_.begin()->first <= Now()) {
-    const std::uint64_t inbound = overdue_.begin()->second;
-    overdue_.erase(overdue_.begin());
-    const auto it = waiting_.find(inbound);
-    if (it == waiting_.end()) {
+  while (!timeouts_.empty() && timeouts_.begin()->first <= Now()) {
+    const std::uint64_t inbound = timeouts_.begin()->second;
+    timeouts_.erase(timeouts_.begin());
+    const auto it = pending_.find(inbound);
+    if (it == pending_.end()) {
       continue;
     }
-    const Waiting waiting = it->second;
-    waiting_.erase(it);
-    if (!nodes_[waiting.from_].stopped_) {
-      Dispatch(waiting.from_,
-               nodes_[waiting.from_].core_->OnFailed(waiting.call_, Now()));
+    const PendingCall pending = it->second;
+    pending_.erase(it);
+    if (!nodes_[pending.from_].stopped_) {
+      Dispatch(pending.from_,
+               nodes_[pending.from_].core_->OnFailed(pending.call_, Now()));
     }
   }
 }
 
 bool
-DirectGossip::Arrives(std::size_t aFrom, std::size_t aTo)
+DirectGossip::IsDelivered(std::size_t aFrom, std::size_t aTo)
 {
   constexpr std::uint64_t kPerMille = 1000;
   if (nodes_[aTo].stopped_ || (reaches_ && !reaches_(aFrom, aTo))) {
@@ -155,11 +156,11 @@
 }
 
 GossipMessage
-DirectGossip::Carry(std::size_t aFrom,
-                    std::size_t aTo,
-                    const GossipMessage& aMessage)
+DirectGossip::PassThroughWire(std::size_t aFrom,
+                              std::size_t aTo,
+                              const GossipMessage& aMessage)
 {
-  if (!throughWire_) {
+  if (!encodeMessages_) {
     return aMessage;
   }
   const std::string bytes = Encode(aMessage);
--- a/src/programs/load/direct_gossip.hpp
+++ b/src/programs/load/direct_gossip.hpp
@@ -57,7 +57,7 @@
   /// Of a thousand messages, how many are lost.
   std::uint64_t lostPerMille_ = 0;
   /// Encodes and decodes each message and counts its bytes.
-  bool throughWire_ = true;
+  bool encodeMessages_ = true;
   /// Length of one step.
   Duration step_ = std::chrono::milliseconds(200);
 
@@ -70,7 +70,7 @@
     bool stopped_ = false;
   };
   /// Who waits for the answer to a request.
-  struct Waiting
+  struct PendingCall
   {
     std::size_t from_ = 0;
     GossipCall call_;
@@ -79,20 +79,20 @@
 
   void Dispatch(std::size_t aFrom, GossipActions aActions);
   void Deliver(std::size_t aFrom, const GossipSend& aSend);
-  void Answer(std::size_t aFrom, const GossipReply& aReply);
-  void FailOverdue();
-  bool Arrives(std::size_t aFrom, std::size_t aTo);
-  GossipMessage Carry(std::size_t aFrom,
-                      std::size_t aTo,
-                      const GossipMessage& aMessage);
+  void DeliverReply(std::size_t aFrom, const GossipReply& aReply);
+  void FailTimedOut();
+  bool IsDelivered(std::size_t aFrom, std::size_t aTo);
+  GossipMessage PassThroughWire(std::size_t aFrom,
+                                std::size_t aTo,
+                                const GossipMessage& aMessage);
 
   ManualClock clock_;
   Random random_;
   std::vector<Node> nodes_;
   std::map<std::string, std::size_t> byAddress_;
   std::uint64_t nextInbound_ = 1;
-  std::map<std::uint64_t, Waiting> waiting_;
-  std::multimap<TimePoint, std::uint64_t> overdue_;
+  std::map<std::uint64_t, PendingCall> pending_;
+  std::multimap<TimePoint, std::uint64_t> timeouts_;
 };
 
 } // namespace marjoramtally
--- a/src/programs/load/fake_engine.cpp
+++ b/src/programs/load/fake_engine.cpp
@@ -122,17 +122,17 @@
     return true;
   }
   cache_.push_front(aHash);
-  Announce(aHash, true);
+  NotifyCacheListener(aHash, true);
   if (cache_.size() > settings_.cachedPrefixes_) {
     const std::uint64_t evicted = cache_.back();
     cache_.pop_back();
-    Announce(evicted, false);
+    NotifyCacheListener(evicted, false);
   }
   return false;
 }
 
 void
-FakeEngine::Announce(std::uint64_t aHash, bool aCached) const
+FakeEngine::NotifyCacheListener(std::uint64_t aHash, bool aCached) const
 {
   if (cacheListener_) {
     cacheListener_({ aHash, aCached });
@@ -181,8 +181,8 @@
   std::vector<Sequence> kept;
   for (Sequence& sequence : batch_) {
     sequence.generated_ += sequence.prefillLeft_ == 0 ? 1 : 0;
-    const bool whole = sequence.generated_ >= sequence.job_.outputTokens_;
-    (whole ? ended : kept).push_back(std::move(sequence));
+    const bool complete = sequence.generated_ >= sequence.job_.outputTokens_;
+    (complete ? ended : kept).push_back(std::move(sequence));
   }
   batch_ = std::move(kept);
   for (const Sequence& sequence : ended) {
--- a/src/programs/load/fake_engine.hpp
+++ b/src/programs/load/fake_engine.hpp
@@ -48,7 +48,7 @@
 /// How a job ended.
 struct EngineResult
 {
-  bool whole_ = false;
+  bool complete_ = false;
   std::uint64_t generatedTokens_ = 0;
   bool cacheHit_ = false;
 };
@@ -120,7 +120,7 @@
   /// @returns prompt tokens worked through in this step
   std::uint64_t Prefill();
   bool TouchPrefix(std::uint64_t aHash);
-  void Announce(std::uint64_t aHash, bool aCached) const;
+  void NotifyCacheListener(std::uint64_t aHash, bool aCached) const;
 
   EventLoop& loop_;
   EngineSettings settings_;
--- a/src/programs/load/fleet.cpp
+++ b/src/programs/load/fleet.cpp
@@ -7,10 +7,10 @@
 constexpr double kMicrosPerMilli = 1e3;
 
 double
-Share(std::uint64_t aPart, std::uint64_t aWhole)
+Share(std::uint64_t aPart, std::uint64_t aTotal)
 {
-  return aWhole == 0 ? 0
-                     : static_cast<double>(aPart) / static_cast<double>(aWhole);
+  return aTotal == 0 ? 0
+                     : static_cast<double>(aPart) / static_cast<double>(aTotal);
 }
 
 /// @returns how many times longer an engine takes
@@ -45,7 +45,7 @@
     engines_.push_back(std::make_unique<FakeEngine>(loop_, settings_.engine_));
     engines_.back()->SetSlowdown(Slowdown(settings_, i));
     engines_.back()->OnCacheEvent([this, i](const CacheEvent& aEvent) {
-      Deliver(EngineIndex{ i }, aEvent);
+      DeliverCacheEvent(EngineIndex{ i }, aEvent);
     });
   }
   for (std::size_t i = 0; i < settings_.entries_; ++i) {
@@ -54,7 +54,7 @@
       engines_,
       aRoutes.make_(settings_.engines_, settings_.seed_ * 1000 + i),
       aMakeQueue(),
-      [this](const BenchOutcome& aOutcome) { Count(aOutcome); }));
+      [this](const BenchOutcome& aOutcome) { CountOutcome(aOutcome); }));
   }
 }
 
@@ -107,14 +107,14 @@
       settings_.reportLag_, [this, i, report = engines_[i]->Report()] {
         for (const auto& entry : entries_) {
           entry->Routes().OnReport(EngineIndex{ i }, report, loop_.Now());
-          entry->Pump();
+          entry->DispatchQueued();
         }
       });
   }
 }
 
 void
-Fleet::Deliver(EngineIndex aEngine, const CacheEvent& aEvent)
+Fleet::DeliverCacheEvent(EngineIndex aEngine, const CacheEvent& aEvent)
 {
   if (random_.Unit() < settings_.cacheEventLoss_) {
     return;
@@ -127,12 +127,12 @@
 }
 
 void
-Fleet::Count(const BenchOutcome& aOutcome)
+Fleet::CountOutcome(const BenchOutcome& aOutcome)
 {
   const RequestSpec& spec = aOutcome.request_.spec_;
   const auto trainer = trainerOf_.find(spec.trainer_);
-  if (aOutcome.end_ == BenchEnd::Whole && trainer != trainerOf_.end()) {
-    trainer->second->OnWhole(aOutcome.request_.job_.id_);
+  if (aOutcome.end_ == BenchEnd::Complete && trainer != trainerOf_.end()) {
+    trainer->second->OnComplete(aOutcome.request_.job_.id_);
   }
   if (listener_) {
     listener_(aOutcome);
@@ -140,12 +140,13 @@
   if (loop_.Now() < settings_.measureFrom_) {
     return;
   }
-  const bool whole = aOutcome.end_ == BenchEnd::Whole;
-  measures_.whole_ += whole ? 1 : 0;
+  const bool complete = aOutcome.end_ == BenchEnd::Complete;
+  measures_.completed_ += complete ? 1 : 0;
   measures_.failed_ += aOutcome.end_ == BenchEnd::Failed ? 1 : 0;
   measures_.retried_ += aOutcome.attempts_ > 1 ? 1 : 0;
-  measures_.cacheHits_ += whole && aOutcome.cacheHit_ ? 1 : 0;
-  measures_.usefulTokens_ += whole ? aOutcome.request_.job_.outputTokens_ : 0;
+  measures_.cacheHits_ += complete && aOutcome.cacheHit_ ? 1 : 0;
+  measures_.usefulTokens_ +=
+    complete ? aOutcome.request_.job_.outputTokens_ : 0;
   measures_.wastedTokens_ += aOutcome.wastedTokens_;
   if (spec.class_ != RequestClass::Live) {
     return;
@@ -161,7 +162,7 @@
     measures_.refusedAfterMillis_.Add(static_cast<double>(held.count()) /
                                       kMicrosPerMilli);
   }
-  if (whole) {
+  if (complete) {
     const Duration took = aOutcome.at_ - spec.arrived_;
     measures_.liveMillis_.Add(static_cast<double>(took.count()) /
                               kMicrosPerMilli);
@@ -180,8 +181,8 @@
   row.liveP99Millis_ = measures_.liveMillis_.Quantile(0.99);
   row.wastedShare_ = Share(measures_.wastedTokens_,
                            measures_.usefulTokens_ + measures_.wastedTokens_);
-  row.cacheHitShare_ = Share(measures_.cacheHits_, measures_.whole_);
-  Samples groups;
+  row.cacheHitShare_ = Share(measures_.cacheHits_, measures_.completed_);
+  Distribution groups;
   Duration idle{ 0 };
   for (const auto& trainer : trainers_) {
     idle += trainer->Idle();
@@ -221,7 +222,7 @@
   std::uint64_t ended = 0;
   std::uint64_t member = 0;
   std::function<void()> submit = [&] {
-    const bool live = maker.Dice().Unit() < aLiveShare;
+    const bool live = maker.Rng().Unit() < aLiveShare;
     const std::uint64_t prefix =
       live ? maker.DrawPrefix(aLive) : 1000 + member++ / kGroup;
     const BenchRequest request =
--- a/src/programs/load/fleet.hpp
+++ b/src/programs/load/fleet.hpp
@@ -35,13 +35,13 @@
   std::uint64_t usefulTokens_ = 0;
   std::uint64_t wastedTokens_ = 0;
   std::uint64_t cacheHits_ = 0;
-  std::uint64_t whole_ = 0;
+  std::uint64_t completed_ = 0;
   std::uint64_t retried_ = 0;
   std::uint64_t failed_ = 0;
   std::vector<std::uint64_t> livePerEngine_;
-  Samples liveMillis_;
+  Distribution liveMillis_;
   /// Time from arrival to refusal.
-  Samples refusedAfterMillis_;
+  Distribution refusedAfterMillis_;
 };
 
 /// Not thread-safe; one fleet is one run.
@@ -80,8 +80,8 @@
 
 private:
   void DeliverReports();
-  void Deliver(EngineIndex aEngine, const CacheEvent& aEvent);
-  void Count(const BenchOutcome& aOutcome);
+  void DeliverCacheEvent(EngineIndex aEngine, const CacheEvent& aEvent);
+  void CountOutcome(const BenchOutcome& aOutcome);
 
   FleetSettings settings_;
   EventLoop loop_;
--- a/src/programs/load/http_load.cpp
+++ b/src/programs/load/http_load.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// An answer is waited for so long after its deadline.
-constexpr auto kGrace = std::chrono::seconds(2);
+constexpr auto kAnswerGrace = std::chrono::seconds(2);
 
 /// The body that names a call of one load.
 std::string
@@ -39,7 +39,7 @@
 
   LoadOutcome Run()
   {
-    std::thread faults([this] { AskForFaults(); });
+    std::thread faults([this] { InjectFaults(); });
     if (options_.inFlight_ > 0) {
       RunClosed();
     } else {
@@ -65,7 +65,7 @@
       if (early > Duration::zero()) {
         std::this_thread::sleep_for(early);
       }
-      if (started_ - finished_ >= kMostInFlight) {
+      if (started_ - finished_ >= kMaxInFlight) {
         ++started_;
         Finish(i, CallEnd::NotStarted);
         continue;
@@ -95,7 +95,7 @@
   {
     ++started_;
     client_->Send(MakeCall(aNumber), [this, aNumber](HttpResult aResult) {
-      const CallEnd end = Judge(aNumber, aResult);
+      const CallEnd end = Classify(aNumber, aResult);
       if (options_.inFlight_ > 0) {
         StartNext();
       }
@@ -111,7 +111,7 @@
     call.method_ = "POST";
     call.url_ = options_.urls_[aNumber % options_.urls_.size()];
     call.body_ = BodyOf(options_.spec_.seed_, aNumber);
-    call.timeout_ = loadClass.deadline_ + kGrace;
+    call.timeout_ = loadClass.deadline_ + kAnswerGrace;
     call.headers_ = { { "X-Class", loadClass.name_ },
                       { "X-Deadline", FormatDuration(loadClass.deadline_) } };
     if (!planned.idempotent_) {
@@ -120,7 +120,7 @@
     return call;
   }
 
-  CallEnd Judge(std::size_t aNumber, const HttpResult& aResult)
+  CallEnd Classify(std::size_t aNumber, const HttpResult& aResult)
   {
     const PlannedCall& planned = load_.calls_[aNumber];
     const Duration took = SinceStart() - planned.at_;
@@ -152,7 +152,7 @@
     finished_.notify_one();
   }
 
-  void AskForFaults()
+  void InjectFaults()
   {
     const auto client = HttpClient::Create(1);
     for (const PlannedFault& fault : options_.plannedFaults_) {
@@ -204,9 +204,9 @@
                                  [](const CallOutcome& aOutcome) {
                                    return aOutcome.end_ == CallEnd::Wrong;
                                  });
-  const bool untrue =
+  const bool contradicted =
     load.check_ && load.check_->runTwice_ + load.check_->refusedRun_ > 0;
-  return wrong || untrue ? kExitFailed : kExitOk;
+  return wrong || contradicted ? kExitFailed : kExitOk;
 }
 
 } // namespace marjoramtally
--- a/src/programs/load/ledger_bench.cpp
+++ b/src/programs/load/ledger_bench.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::uint32_t kGroupSize = 8;
-constexpr std::uint32_t kMost = 64;
+constexpr std::uint32_t kMaxSamplesPerTake = 64;
 constexpr std::size_t kTextBytes = 1024;
 constexpr std::array<std::uint32_t, 3> kSizes{ 512, 2048, 8192 };
 constexpr std::uint64_t kJournalBytes = 256U << 20U;
@@ -103,7 +103,7 @@
   TakeClient client(MakeStep(aSize));
   Stopwatch takes;
   while (!client.IsComplete()) {
-    const TakeSpec take = client.Next(WeightVersion{ 1 }, kMost);
+    const TakeSpec take = client.Next(WeightVersion{ 1 }, kMaxSamplesPerTake);
     TakeResult result;
     takes.Time([&] {
       if (aLedger.Accept(take, {}) == TakeVerdict::Current) {
@@ -117,7 +117,7 @@
 }
 
 void
-PrintLedger(std::uint32_t aSize)
+MeasureLedger(std::uint32_t aSize)
 {
   const std::size_t empty = HeapBytes();
   TrainerLedger ledger;
@@ -152,7 +152,7 @@
 }
 
 int
-PrintJournal()
+MeasureJournal()
 {
   constexpr std::uint32_t kSize = 2048;
   const auto folder = std::filesystem::temp_directory_path() /
@@ -175,15 +175,15 @@
         });
       }
       Stopwatch read;
-      std::size_t back = 0;
+      std::size_t readBack = 0;
       read.Time([&] {
         const auto result = journal.value()->Read(trainer, spec);
-        back = result ? result.value().samples_.size() : 0;
+        readBack = result ? result.value().samples_.size() : 0;
       });
       std::cout << "journal: append_us=" << appends.MedianNanos() / 1000.0
                 << " read_step_ms=" << read.MedianNanos() / 1e6
-                << " samples_back=" << back << '\n';
-      code = kept && back == kSize ? kExitOk : kExitFailed;
+                << " samples_back=" << readBack << '\n';
+      code = kept && readBack == kSize ? kExitOk : kExitFailed;
     }
   }
   std::filesystem::remove_all(folder);
@@ -196,9 +196,9 @@
 RunLedgerBench(int /*aArgc*/, char** /*aArgv*/)
 {
   for (const std::uint32_t size : kSizes) {
-    PrintLedger(size);
+    MeasureLedger(size);
   }
-  return PrintJournal();
+  return MeasureJournal();
 }
 
 } // namespace marjoramtally
--- a/src/programs/load/load_options.cpp
+++ b/src/programs/load/load_options.cpp
@@ -11,8 +11,8 @@
 
 namespace po = boost::program_options;
 
-constexpr std::uint64_t kMostCalls = 2'000'000;
-constexpr double kMostRate = 100'000;
+constexpr std::uint64_t kMaxCalls = 2'000'000;
+constexpr double kMaxRate = 100'000;
 constexpr std::string_view kDefaultClass = "live:1:1s";
 
 po::options_description
@@ -66,7 +66,7 @@
 
 /// Parses what has a form of its own; adds to the findings.
 void
-ReadLists(LoadOptions& aOptions, Findings& aFindings)
+ParseClassesAndFaults(LoadOptions& aOptions, Findings& aFindings)
 {
   const SourcePlace place{ "command line", 0 };
   if (aOptions.classes_.empty()) {
@@ -96,7 +96,7 @@
 {
   Findings findings;
   const SourcePlace place{ "command line", 0 };
-  ReadLists(aOptions, findings);
+  ParseClassesAndFaults(aOptions, findings);
   LoadSpec& spec = aOptions.spec_;
   const bool open = spec.rate_ > 0 && aOptions.seconds_ > 0;
   const bool closed = aOptions.inFlight_ > 0 && spec.calls_ > 0;
@@ -109,8 +109,8 @@
     spec.calls_ = static_cast<std::uint64_t>(
       std::min(spec.rate_ * aOptions.seconds_, 1e12));
   }
-  if (spec.rate_ > kMostRate || spec.calls_ < 1 || spec.calls_ > kMostCalls ||
-      aOptions.inFlight_ > kMostInFlight) {
+  if (spec.rate_ > kMaxRate || spec.calls_ < 1 || spec.calls_ > kMaxCalls ||
+      aOptions.inFlight_ > kMaxInFlight) {
     findings.Add(place,
                  "bounds: --rate to 100000, 1 to 2000000 calls in all, "
                  "--in-flight to 20000");
--- a/src/programs/load/load_options.hpp
+++ b/src/programs/load/load_options.hpp
@@ -9,7 +9,7 @@
 
 /// Bound of calls in flight of an open loop; arrivals beyond it are counted
 /// and not made.
-inline constexpr std::uint64_t kMostInFlight = 20'000;
+inline constexpr std::uint64_t kMaxInFlight = 20'000;
 
 /// Something to ask of a stand-in during the load.
 struct PlannedFault
--- a/src/programs/load/load_plan.cpp
+++ b/src/programs/load/load_plan.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostWeight = 1'000'000;
+constexpr std::uint64_t kMaxWeight = 1'000'000;
 
 } // namespace
 
@@ -24,7 +24,7 @@
   }
   const std::string_view text(aText);
   const auto weight =
-    ParseNumber(text.substr(first + 1, second - first - 1), 1, kMostWeight);
+    ParseNumber(text.substr(first + 1, second - first - 1), 1, kMaxWeight);
   const auto deadline = ParseDuration(text.substr(second + 1));
   if (first == 0 || !weight || !deadline || *deadline <= Duration::zero()) {
     return bad;
--- a/src/programs/load/membership_bench.cpp
+++ b/src/programs/load/membership_bench.cpp
@@ -18,7 +18,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr std::size_t kMostMembers = 4000;
+constexpr std::size_t kMaxMembers = 4000;
 
 /// What the command line gave.
 struct BenchOptions
@@ -61,10 +61,10 @@
 }
 
 /// All members of a run, and what is asked of them.
-class Fleet
+class GossipCluster
 {
 public:
-  explicit Fleet(const BenchOptions& aOptions)
+  explicit GossipCluster(const BenchOptions& aOptions)
     : options_(aOptions)
     , gossip_(aOptions.seed_)
     , random_(aOptions.seed_ + 1)
@@ -97,9 +97,9 @@
 
   void MeasureFailures();
   void MeasureRevisions();
-  void MeasureQuiet(const std::string& aName, Duration aTime);
-  void MeasureDay();
-  void MeasureLostZone();
+  void MeasureTraffic(const std::string& aName, Duration aTime);
+  void MeasureOrdinaryDay();
+  void MeasureZoneFailures();
   void MeasureFalseSuspicions();
   void MeasureCost();
 
@@ -108,7 +108,10 @@
   {
     return "zone-" + std::to_string(aNumber % options_.zones_);
   }
-  [[nodiscard]] std::size_t Random1() { return random_.Below(gossip_.Count()); }
+  [[nodiscard]] std::size_t RandomMember()
+  {
+    return random_.Below(gossip_.Count());
+  }
   /// Bytes sent and received by each member since the last call.
   std::vector<double> TakeBytes();
   void PrintBytes(const std::string& aName, Duration aTime);
@@ -122,7 +125,7 @@
 };
 
 std::vector<double>
-Fleet::TakeBytes()
+GossipCluster::TakeBytes()
 {
   bytes_.resize(gossip_.Count());
   std::vector<double> since;
@@ -136,7 +139,7 @@
 }
 
 void
-Fleet::PrintBytes(const std::string& aName, Duration aTime)
+GossipCluster::PrintBytes(const std::string& aName, Duration aTime)
 {
   std::vector<double> rates = TakeBytes();
   for (double& rate : rates) {
@@ -147,7 +150,7 @@
 }
 
 std::uint64_t
-Fleet::Sum(std::uint64_t MembershipCounters::*aMember)
+GossipCluster::Sum(std::uint64_t MembershipCounters::*aMember)
 {
   std::uint64_t sum = 0;
   for (std::size_t i = 0; i < gossip_.Count(); ++i) {
@@ -158,12 +161,12 @@
 
 /// Stops members one by one: when the first, and when all, believe it dead.
 void
-Fleet::MeasureFailures()
+GossipCluster::MeasureFailures()
 {
   std::vector<double> detected;
-  std::vector<double> spread;
+  std::vector<double> learned;
   for (std::size_t trial = 0; trial < options_.trials_; ++trial) {
-    const std::size_t victim = Random1();
+    const std::size_t victim = RandomMember();
     const InstanceId id = gossip_.At(victim).Self().id_;
     gossip_.SetStopped(victim, true);
     const TimePoint start = gossip_.Now();
@@ -181,7 +184,7 @@
         if (left == gossip_.Count() - 1) {
           detected.push_back(took);
         }
-        spread.push_back(took);
+        learned.push_back(took);
         knows[i] = true;
         --left;
       }
@@ -190,16 +193,16 @@
     gossip_.Run(seconds(40));
   }
   Print("failure detected_by_first_s", Summarise(detected), detected.size());
-  Print("failure known_by_each_s", Summarise(spread), spread.size());
+  Print("failure known_by_each_s", Summarise(learned), learned.size());
 }
 
 void
-Fleet::MeasureRevisions()
+GossipCluster::MeasureRevisions()
 {
-  std::vector<double> heard;
+  std::vector<double> learned;
   for (std::size_t trial = 0; trial < options_.trials_; ++trial) {
     const ConfigRevision revision{ ++revision_ };
-    gossip_.At(Random1()).SetRevision(revision);
+    gossip_.At(RandomMember()).SetRevision(revision);
     const TimePoint start = gossip_.Now();
     std::vector<bool> knows(gossip_.Count(), false);
     while (gossip_.Now() - start < seconds(15)) {
@@ -207,18 +210,18 @@
       for (std::size_t i = 0; i < gossip_.Count(); ++i) {
         if (!knows[i] && gossip_.At(i).HighestRevision() >= revision) {
           knows[i] = true;
-          heard.push_back(Seconds(gossip_.Now() - start));
+          learned.push_back(Seconds(gossip_.Now() - start));
         }
       }
     }
   }
-  Print("revision known_by_each_s", Summarise(heard), heard.size());
+  Print("revision known_by_each_s", Summarise(learned), learned.size());
   std::cout << "revision missed="
-            << options_.trials_ * gossip_.Count() - heard.size() << std::endl;
+            << options_.trials_ * gossip_.Count() - learned.size() << std::endl;
 }
 
 void
-Fleet::MeasureQuiet(const std::string& aName, Duration aTime)
+GossipCluster::MeasureTraffic(const std::string& aName, Duration aTime)
 {
   TakeBytes();
   gossip_.Run(aTime);
@@ -227,7 +230,7 @@
 
 /// Ten minutes with the events of an ordinary day at their rate.
 void
-Fleet::MeasureDay()
+GossipCluster::MeasureOrdinaryDay()
 {
   constexpr std::size_t kPartsPerDay = 144;
   constexpr std::size_t kFailures = (17 + kPartsPerDay - 1) / kPartsPerDay;
@@ -240,10 +243,10 @@
   for (std::size_t slot = 0; slot < slots; ++slot) {
     if (slot * kChanges / slots > changes) {
       ++changes;
-      gossip_.At(Random1()).SetRevision(ConfigRevision{ ++revision_ });
+      gossip_.At(RandomMember()).SetRevision(ConfigRevision{ ++revision_ });
     }
     if (slot % (slots / (kRestarts + kFailures)) == 0) {
-      gossip_.Restart(Random1());
+      gossip_.Restart(RandomMember());
     }
     gossip_.Run(seconds(1));
   }
@@ -255,12 +258,12 @@
 
 /// Cuts a zone off, then lets it rejoin, and takes the worst minute.
 void
-Fleet::MeasureLostZone()
+GossipCluster::MeasureZoneFailures()
 {
   gossip_.reaches_ = [this](std::size_t aFrom, std::size_t aTo) {
     return (aFrom % options_.zones_ == 0) == (aTo % options_.zones_ == 0);
   };
-  MeasureQuiet("zone_cut_off first_minute", minutes(1));
+  MeasureTraffic("zone_cut_off first_minute", minutes(1));
   std::size_t wrong = 0;
   for (std::size_t i = 0; i < gossip_.Count(); ++i) {
     const bool reachable =
@@ -269,16 +272,16 @@
   }
   std::cout << "zone_cut_off members_with_wrong_view=" << wrong << std::endl;
   gossip_.reaches_ = nullptr;
-  MeasureQuiet("zone_rejoined first_minute", minutes(1));
+  MeasureTraffic("zone_rejoined first_minute", minutes(1));
   for (std::size_t i = 0; i < gossip_.Count(); i += options_.zones_) {
     gossip_.SetStopped(i, true);
   }
-  MeasureQuiet("zone_dead first_minute", minutes(1));
+  MeasureTraffic("zone_dead first_minute", minutes(1));
   for (std::size_t i = 0; i < gossip_.Count(); i += options_.zones_) {
     gossip_.Restart(i);
   }
   const TimePoint start = gossip_.Now();
-  MeasureQuiet("zone_restarted first_minute", minutes(1));
+  MeasureTraffic("zone_restarted first_minute", minutes(1));
   while (Agreeing() < gossip_.Count() && gossip_.Now() - start < minutes(5)) {
     gossip_.Run(seconds(1));
   }
@@ -289,7 +292,7 @@
 
 /// Loses one message in a hundred and pauses members for a few seconds.
 void
-Fleet::MeasureFalseSuspicions()
+GossipCluster::MeasureFalseSuspicions()
 {
   const std::uint64_t suspicions = Sum(&MembershipCounters::suspicions_);
   const std::uint64_t deaths = Sum(&MembershipCounters::deaths_);
@@ -302,7 +305,7 @@
   const std::uint64_t before = Sum(&MembershipCounters::suspicions_);
   const std::uint64_t deathsBefore = Sum(&MembershipCounters::deaths_);
   for (std::size_t trial = 0; trial < options_.trials_; ++trial) {
-    const std::size_t paused = Random1();
+    const std::size_t paused = RandomMember();
     gossip_.SetStopped(paused, true);
     gossip_.Run(seconds(4));
     gossip_.SetStopped(paused, false);
@@ -317,7 +320,7 @@
 
 /// Processor time of ticks, encoding, decoding and handling, by message.
 void
-Fleet::MeasureCost()
+GossipCluster::MeasureCost()
 {
   constexpr auto kLength = seconds(60);
   const auto handled = [this] {
@@ -361,7 +364,7 @@
     std::cerr << "marjoram-load: " << failure.what() << std::endl;
     return kExitBadInput;
   }
-  if (options.members_ < 24 || options.members_ > kMostMembers ||
+  if (options.members_ < 24 || options.members_ > kMaxMembers ||
       options.zones_ == 0 || options.zones_ > options.members_ / 2 ||
       options.trials_ == 0) {
     std::cerr << "marjoram-load: --members 24 to 4000, --zones up to half of "
@@ -369,18 +372,18 @@
     return kExitBadInput;
   }
   const std::size_t heapBefore = mallinfo2().uordblks;
-  Fleet fleet(options);
+  GossipCluster cluster(options);
   const auto heap = static_cast<double>(mallinfo2().uordblks - heapBefore);
   std::cout << "members=" << options.members_ << " zones=" << options.zones_
-            << " agreeing=" << fleet.Agreeing() << " heap_bytes_per_daemon="
+            << " agreeing=" << cluster.Agreeing() << " heap_bytes_per_daemon="
             << heap / static_cast<double>(options.members_) << std::endl;
-  fleet.MeasureQuiet("quiet", minutes(1));
-  fleet.MeasureCost();
-  fleet.MeasureFailures();
-  fleet.MeasureRevisions();
-  fleet.MeasureFalseSuspicions();
-  fleet.MeasureLostZone();
-  fleet.MeasureDay();
+  cluster.MeasureTraffic("quiet", minutes(1));
+  cluster.MeasureCost();
+  cluster.MeasureFailures();
+  cluster.MeasureRevisions();
+  cluster.MeasureFalseSuspicions();
+  cluster.MeasureZoneFailures();
+  cluster.MeasureOrdinaryDay();
   return kExitOk;
 }
 
--- a/src/programs/load/policies.cpp
+++ b/src/programs/load/policies.cpp
@@ -65,7 +65,7 @@
 
   /// @returns the open engine of the least cost; ties at random
   template<typename Cost>
-  std::size_t Least(const std::vector<std::size_t>& aOpen, Cost aCost)
+  std::size_t LeastCost(const std::vector<std::size_t>& aOpen, Cost aCost)
   {
     std::pair<std::uint64_t, std::uint64_t> bestRank{ UINT64_MAX, UINT64_MAX };
     std::size_t best = aOpen.front();
@@ -108,8 +108,8 @@
   using CountingPolicy::CountingPolicy;
   std::size_t Choose(const std::vector<std::size_t>& aOpen) override
   {
-    return Least(aOpen,
-                 [this](std::size_t aEngine) { return inFlight_[aEngine]; });
+    return LeastCost(
+      aOpen, [this](std::size_t aEngine) { return inFlight_[aEngine]; });
   }
 };
 
@@ -118,7 +118,7 @@
   using CountingPolicy::CountingPolicy;
   std::size_t Choose(const std::vector<std::size_t>& aOpen) override
   {
-    return Least(aOpen, [this](std::size_t aEngine) {
+    return LeastCost(aOpen, [this](std::size_t aEngine) {
       return reports_[aEngine].running_ + reports_[aEngine].queued_;
     });
   }
--- a/src/programs/load/policies.hpp
+++ b/src/programs/load/policies.hpp
@@ -70,11 +70,11 @@
 
 /// The library's router.
 [[nodiscard]] const RoutePolicySpec&
-OurPolicy();
+LibraryPolicy();
 
 /// The library's router with one part changed.
 [[nodiscard]] const std::vector<RoutePolicySpec>&
-OurVariants();
+LibraryVariants();
 
 /// The library's router with other numbers of candidates and other blur.
 [[nodiscard]] const std::vector<RoutePolicySpec>&
@@ -93,7 +93,7 @@
   /// Takes a request out: it was sent or given up.
   virtual void Remove(TicketId aTicket, bool aSent, TimePoint aNow) = 0;
   /// Takes out requests that can no longer be in time; they are refused.
-  [[nodiscard]] virtual std::vector<TicketId> TakeDoomed(TimePoint /*aNow*/)
+  [[nodiscard]] virtual std::vector<TicketId> TakeInfeasible(TimePoint /*aNow*/)
   {
     return {};
   }
--- a/src/programs/load/queue_variants.cpp
+++ b/src/programs/load/queue_variants.cpp
@@ -9,11 +9,11 @@
 const ServiceId kBenchService{ "bench" };
 
 /// Our admission as a queue policy.
-class SharedQueue final : public QueuePolicy
+class AdmissionQueue final : public QueuePolicy
 {
 public:
-  SharedQueue(const QueueVariant& aVariant,
-              const std::vector<TrainerWeight>& aWeights)
+  AdmissionQueue(const QueueVariant& aVariant,
+                 const std::vector<TrainerWeight>& aWeights)
     : admission_(aVariant.settings_)
   {
     admission_.SetCapacity(kBenchService, aVariant.slots_);
@@ -48,18 +48,19 @@
               const EngineResult& aResult,
               TimePoint aNow) override
   {
-    const auto tokens =
-      aResult.whole_ ? std::optional(aResult.generatedTokens_) : std::nullopt;
+    const auto tokens = aResult.complete_
+                          ? std::optional(aResult.generatedTokens_)
+                          : std::nullopt;
     admission_.Complete(aTicket, tokens, aNow);
   }
 
-  std::vector<TicketId> TakeDoomed(TimePoint aNow) override
+  std::vector<TicketId> TakeInfeasible(TimePoint aNow) override
   {
-    std::vector<TicketId> doomed;
+    std::vector<TicketId> infeasible;
     for (const QueuedRequest& request : admission_.Expire(aNow)) {
-      doomed.push_back(request.ticket_);
+      infeasible.push_back(request.ticket_);
     }
-    return doomed;
+    return infeasible;
   }
 
 private:
@@ -112,10 +113,10 @@
 } // namespace
 
 std::unique_ptr<QueuePolicy>
-MakeSharedQueue(const QueueVariant& aVariant,
-                const std::vector<TrainerWeight>& aWeights)
+MakeAdmissionQueue(const QueueVariant& aVariant,
+                   const std::vector<TrainerWeight>& aWeights)
 {
-  return std::make_unique<SharedQueue>(aVariant, aWeights);
+  return std::make_unique<AdmissionQueue>(aVariant, aWeights);
 }
 
 std::unique_ptr<RoutePolicy>
--- a/src/programs/load/queue_variants.hpp
+++ b/src/programs/load/queue_variants.hpp
@@ -24,8 +24,8 @@
 
 /// Makes our queue in one variant.
 [[nodiscard]] std::unique_ptr<QueuePolicy>
-MakeSharedQueue(const QueueVariant& aVariant,
-                const std::vector<TrainerWeight>& aWeights);
+MakeAdmissionQueue(const QueueVariant& aVariant,
+                   const std::vector<TrainerWeight>& aWeights);
 
 /// Least own requests in flight, at most `kSlotsPerEngine` at each engine.
 [[nodiscard]] std::unique_ptr<RoutePolicy>
--- a/src/programs/load/rollout_bench.cpp
+++ b/src/programs/load/rollout_bench.cpp
@@ -59,7 +59,7 @@
   for (const std::uint64_t controls : { 9, 27, 110, 440 }) {
     RolloutPlan plan = MakePlan(
       aBase, "record, " + std::to_string(controls) + " controls", 90, controls);
-    plan.records_ = true;
+    plan.usesPermitRecord_ = true;
     plans.push_back(plan);
   }
   return plans;
@@ -98,7 +98,7 @@
   std::cout << std::setw(kColumnWidth) << aOut.seconds_
             << std::setw(kColumnWidth) << std::setprecision(4)
             << aOut.seconds_ / aBase << std::setprecision(1);
-  for (const std::uint64_t value : { aOut.leastAnswering_,
+  for (const std::uint64_t value : { aOut.minAnswering_,
                                      aOut.loads_,
                                      aOut.refusedLoads_,
                                      aOut.peakLoads_,
@@ -135,8 +135,8 @@
     std::cout << described;
     return kExitOk;
   }
-  constexpr std::uint64_t kMostSamplers = 10'000;
-  if (base.samplers_ == 0 || base.samplers_ > kMostSamplers ||
+  constexpr std::uint64_t kMaxSamplers = 10'000;
+  if (base.samplers_ == 0 || base.samplers_ > kMaxSamplers ||
       base.storeRate_ < 1.0 || base.failedSwaps_ < 0.0 ||
       base.failedSwaps_ > 1.0) {
     std::cerr << "marjoram-load: --samplers 1 to 10000, --store-rate from 1, "
--- a/src/programs/load/rollout_fakes.cpp
+++ b/src/programs/load/rollout_fakes.cpp
@@ -8,10 +8,10 @@
 
 constexpr Duration kSecond = std::chrono::seconds(1);
 /// One way to the platform's store and back.
-constexpr Duration kStoreTime = std::chrono::milliseconds(4);
+constexpr Duration kStoreRoundTrip = std::chrono::milliseconds(4);
 /// The store takes 300 writes a second.
 constexpr Duration kWriteTime{ 3333 };
-constexpr std::uint64_t kMostDoublings = 7;
+constexpr std::uint64_t kMaxDoublings = 7;
 
 } // namespace
 
@@ -32,34 +32,37 @@
 }
 
 void
-PermitRecord::Reserve(std::function<void(TimePoint)> aDone, std::uint64_t aTry)
+PermitRecord::Reserve(std::function<void(TimePoint)> aDone,
+                      std::uint64_t aAttempt)
 {
   ++reads_;
-  loop_.After(kStoreTime, [this, done = std::move(aDone), aTry] {
-    Write(revision_, done, aTry);
+  loop_.After(kStoreRoundTrip, [this, done = std::move(aDone), aAttempt] {
+    Write(revision_, done, aAttempt);
   });
 }
 
 void
 PermitRecord::Write(std::uint64_t aRevision,
                     std::function<void(TimePoint)> aDone,
-                    std::uint64_t aTry)
+                    std::uint64_t aAttempt)
 {
   ++writes_;
   writerFree_ = std::max(writerFree_, loop_.Now()) + kWriteTime;
-  loop_.At(
-    writerFree_ + kStoreTime, [this, aRevision, done = std::move(aDone), aTry] {
-      if (revision_ == aRevision) {
-        ++revision_;
-        nextTurn_ = std::max(nextTurn_ + turn_, loop_.Now());
-        done(nextTurn_);
-        return;
-      }
-      const Duration most = kStoreTime * (2 << std::min(aTry, kMostDoublings));
-      const Duration wait{ static_cast<Duration::rep>(
-        random_.Below(static_cast<std::uint64_t>(most.count()))) };
-      loop_.After(wait, [this, done, aTry] { Reserve(done, aTry + 1); });
-    });
+  loop_.At(writerFree_ + kStoreRoundTrip,
+           [this, aRevision, done = std::move(aDone), aAttempt] {
+             if (revision_ == aRevision) {
+               ++revision_;
+               nextTurn_ = std::max(nextTurn_ + turnInterval_, loop_.Now());
+               done(nextTurn_);
+               return;
+             }
+             const Duration maxWait =
+               kStoreRoundTrip * (2 << std::min(aAttempt, kMaxDoublings));
+             const Duration wait{ static_cast<Duration::rep>(
+               random_.Below(static_cast<std::uint64_t>(maxWait.count()))) };
+             loop_.After(
+               wait, [this, done, aAttempt] { Reserve(done, aAttempt + 1); });
+           });
 }
 
 bool
@@ -69,10 +72,10 @@
     turn_.reset();
     return true;
   }
-  if (!asking_ && !turn_) {
-    asking_ = true;
+  if (!reserving_ && !turn_) {
+    reserving_ = true;
     record_.Reserve([this](TimePoint aTurn) {
-      asking_ = false;
+      reserving_ = false;
       turn_ = aTurn;
     });
   }
--- a/src/programs/load/rollout_fakes.hpp
+++ b/src/programs/load/rollout_fakes.hpp
@@ -34,12 +34,13 @@
 public:
   PermitRecord(EventLoop& aLoop, double aLoadsPerSecond) noexcept
     : loop_(aLoop)
-    , turn_(Duration(static_cast<Duration::rep>(1e6 / aLoadsPerSecond)))
+    , turnInterval_(Duration(static_cast<Duration::rep>(1e6 / aLoadsPerSecond)))
   {
   }
   /// Reads the record, then reserves the next turn; on a conflict again
   /// after a random wait.
-  void Reserve(std::function<void(TimePoint)> aDone, std::uint64_t aTry = 0);
+  void Reserve(std::function<void(TimePoint)> aDone,
+               std::uint64_t aAttempt = 0);
 
   std::uint64_t reads_ = 0;
   std::uint64_t writes_ = 0;
@@ -47,10 +48,10 @@
 private:
   void Write(std::uint64_t aRevision,
              std::function<void(TimePoint)> aDone,
-             std::uint64_t aTry);
+             std::uint64_t aAttempt);
 
   EventLoop& loop_;
-  Duration turn_;
+  Duration turnInterval_;
   Random random_{ 7 };
   std::uint64_t revision_ = 0;
   TimePoint nextTurn_;
@@ -71,7 +72,7 @@
 
 private:
   PermitRecord& record_;
-  bool asking_ = false;
+  bool reserving_ = false;
   std::optional<TimePoint> turn_;
 };
 
--- a/src/programs/load/rollout_fleet.cpp
+++ b/src/programs/load/rollout_fleet.cpp
@@ -9,33 +9,33 @@
 
 const ServiceId kService{ "lm" };
 const std::string kModel = "model";
-constexpr WeightVersion kOld{ 1 };
-constexpr WeightVersion kNew{ 2 };
+constexpr WeightVersion kOldVersion{ 1 };
+constexpr WeightVersion kNewVersion{ 2 };
 constexpr FencingNumber kTerm{ 5 };
 /// Before the new version is announced, so that all owners are settled.
 constexpr Duration kWarmUp = std::chrono::seconds(5);
 /// Owners hear of a new version within this time.
-constexpr Duration kViewLag = std::chrono::seconds(1);
+constexpr Duration kAnnouncementLag = std::chrono::seconds(1);
 /// Way of a call to a sampler and back.
-constexpr Duration kCallTime = std::chrono::milliseconds(2);
+constexpr Duration kCallRoundTrip = std::chrono::milliseconds(2);
 constexpr Duration kLease = std::chrono::seconds(10);
 
-class Fleet
+class RolloutSimulation
 {
 public:
-  explicit Fleet(const RolloutPlan& aPlan)
+  explicit RolloutSimulation(const RolloutPlan& aPlan)
     : plan_(aPlan)
     , random_(aPlan.seed_)
     , weights_(aPlan.storeRate_)
     , record_(loop_, aPlan.storeRate_)
     , samplers_(aPlan.samplers_)
   {
-    outcome_.leastAnswering_ = plan_.samplers_;
+    outcome_.minAnswering_ = plan_.samplers_;
     outcome_.slots_ = SwitchSlots(plan_.samplers_, plan_.floor_, plan_.wave_);
     outcome_.owners_ = std::min(plan_.controls_, outcome_.slots_);
     for (FakeSampler& sampler : samplers_) {
-      sampler.state_.served_[kModel] = kOld;
-      sampler.state_.loaded_[kModel] = kOld;
+      sampler.state_.served_[kModel] = kOldVersion;
+      sampler.state_.loaded_[kModel] = kOldVersion;
     }
     MakeOwners();
   }
@@ -43,7 +43,7 @@
   RolloutOutcome Run()
   {
     for (std::size_t i = 0; i < owners_.size(); ++i) {
-      Announce(i, kOld);
+      Announce(i, kOldVersion);
     }
     loop_.Every(plan_.step_, [this] { Step(); });
     loop_.RunUntil(TimePoint{} + kWarmUp);
@@ -52,8 +52,8 @@
                                static_cast<double>(outcome_.owners_) /
                                Seconds(kWarmUp);
     for (std::size_t i = 0; i < owners_.size(); ++i) {
-      loop_.After(FromSeconds(Seconds(kViewLag) * random_.Unit()),
-                  [this, i] { Announce(i, kNew); });
+      loop_.After(FromSeconds(Seconds(kAnnouncementLag) * random_.Unit()),
+                  [this, i] { Announce(i, kNewVersion); });
     }
     while (outcome_.done_ < plan_.samplers_ &&
            loop_.Now() < TimePoint{} + kWarmUp + plan_.limit_) {
@@ -90,7 +90,7 @@
     if (!plan_.paced_) {
       return std::make_unique<UnpacedPermits>();
     }
-    if (plan_.records_) {
+    if (plan_.usesPermitRecord_) {
       return std::make_unique<RecordPermits>(record_);
     }
     return nullptr;
@@ -137,11 +137,12 @@
     if (const auto* read = std::get_if<ReadState>(&aAction)) {
       ++reads_;
       const TimePoint askedAt = loop_.Now();
-      loop_.After(kCallTime, [this, &aOwner, id = read->upstream_, askedAt] {
-        aOwner.OnState(id, SamplerOf(id).state_, askedAt, loop_.Now());
-      });
+      loop_.After(
+        kCallRoundTrip, [this, &aOwner, id = read->upstream_, askedAt] {
+          aOwner.OnState(id, SamplerOf(id).state_, askedAt, loop_.Now());
+        });
     } else if (const auto* order = std::get_if<SendOrder>(&aAction)) {
-      Take(aOwner, *order);
+      ExecuteOrder(aOwner, *order);
     }
   }
 
@@ -150,32 +151,34 @@
     return samplers_[std::stoul(aId.Get())];
   }
 
-  void End(Rollout& aOwner,
-           const SendOrder& aOrder,
-           Duration aAfter,
-           std::function<OrderEnd()> aEffect)
+  void ScheduleEnd(Rollout& aOwner,
+                   const SendOrder& aOrder,
+                   Duration aAfter,
+                   std::function<OrderEnd()> aEffect)
   {
     loop_.After(aAfter, [this, &aOwner, aOrder, effect = std::move(aEffect)] {
       aOwner.OnOrderEnd(aOrder, effect(), loop_.Now());
     });
   }
 
-  void Take(Rollout& aOwner, const SendOrder& aOrder)
+  void ExecuteOrder(Rollout& aOwner, const SendOrder& aOrder)
   {
     const UpstreamId id = aOrder.upstream_;
     if (aOrder.kind_ == OrderKind::Role) {
-      End(aOwner, aOrder, kCallTime, [] { return OrderEnd::Done; });
+      ScheduleEnd(
+        aOwner, aOrder, kCallRoundTrip, [] { return OrderEnd::Done; });
     } else if (aOrder.kind_ == OrderKind::Switch) {
       Switch(aOwner, aOrder);
     } else if (weights_.Load(loop_.Now())) {
       SetAnswering(id, plan_.loadsAhead_);
-      End(aOwner, aOrder, Spread(plan_.loadTime_), [this, id] {
+      ScheduleEnd(aOwner, aOrder, Jitter(plan_.loadTime_), [this, id] {
         SetAnswering(id, true);
-        SamplerOf(id).state_.loaded_[kModel] = kNew;
+        SamplerOf(id).state_.loaded_[kModel] = kNewVersion;
         return OrderEnd::Done;
       });
     } else {
-      End(aOwner, aOrder, kCallTime, [] { return OrderEnd::StoreBusy; });
+      ScheduleEnd(
+        aOwner, aOrder, kCallRoundTrip, [] { return OrderEnd::StoreBusy; });
     }
   }
 
@@ -185,7 +188,7 @@
     answering_ += (aAnswers ? 1 : 0);
     answering_ -= (sampler.answering_ ? 1 : 0);
     sampler.answering_ = aAnswers;
-    outcome_.leastAnswering_ = std::min(outcome_.leastAnswering_, answering_);
+    outcome_.minAnswering_ = std::min(outcome_.minAnswering_, answering_);
   }
 
   /// A failed swap leaves the old version and loses what was loaded.
@@ -194,7 +197,7 @@
     const UpstreamId& id = aOrder.upstream_;
     SetAnswering(id, false);
     const bool fails = random_.Unit() < plan_.failedSwaps_;
-    End(aOwner, aOrder, Spread(plan_.switchTime_), [this, id, fails] {
+    ScheduleEnd(aOwner, aOrder, Jitter(plan_.switchTime_), [this, id, fails] {
       FakeSampler& sampler = SamplerOf(id);
       SetAnswering(id, true);
       if (fails) {
@@ -202,7 +205,7 @@
         sampler.state_.loaded_.clear();
         return OrderEnd::Failed;
       }
-      sampler.state_.served_[kModel] = kNew;
+      sampler.state_.served_[kModel] = kNewVersion;
       ++outcome_.done_;
       lastDone_ = loop_.Now();
       return OrderEnd::Done;
@@ -210,11 +213,11 @@
   }
 
   /// @returns the time give or take a fifth
-  Duration Spread(Duration aTime)
+  Duration Jitter(Duration aTime)
   {
-    constexpr double kLeast = 0.8;
+    constexpr double kMinFactor = 0.8;
     constexpr double kWidth = 0.4;
-    return FromSeconds(Seconds(aTime) * (kLeast + kWidth * random_.Unit()));
+    return FromSeconds(Seconds(aTime) * (kMinFactor + kWidth * random_.Unit()));
   }
 
   RolloutPlan plan_;
@@ -235,7 +238,7 @@
 RolloutOutcome
 RunRollout(const RolloutPlan& aPlan)
 {
-  return Fleet(aPlan).Run();
+  return RolloutSimulation(aPlan).Run();
 }
 
 } // namespace marjoramtally::bench
--- a/src/programs/load/rollout_fleet.hpp
+++ b/src/programs/load/rollout_fleet.hpp
@@ -27,7 +27,7 @@
   /// Samplers go on answering while they load.
   bool loadsAhead_ = true;
   /// Permits are reserved in a record of the platform's store.
-  bool records_ = false;
+  bool usesPermitRecord_ = false;
   std::uint64_t parallelLoads_ = 1'000'000;
   double failedSwaps_ = 0.02;
   Duration loadTime_ = std::chrono::seconds(4);
@@ -45,7 +45,7 @@
   /// Time until the last sampler had the version; the limit if never.
   double seconds_ = 0.0;
   std::uint64_t done_ = 0;
-  std::uint64_t leastAnswering_ = 0;
+  std::uint64_t minAnswering_ = 0;
   std::uint64_t loads_ = 0;
   std::uint64_t refusedLoads_ = 0;
   /// Most loads taken up within one second.
--- a/src/programs/load/router_policy.cpp
+++ b/src/programs/load/router_policy.cpp
@@ -67,7 +67,7 @@
   {
     AttemptResult done;
     done.end_ =
-      aAttempt.result_.whole_ ? AttemptEnd::Complete : AttemptEnd::MaybeRun;
+      aAttempt.result_.complete_ ? AttemptEnd::Complete : AttemptEnd::MaybeRun;
     done.timedOut_ = aAttempt.cancelled_;
     done.sentAt_ = aAttempt.sentAt_;
     done.tokens_ = aAttempt.result_.generatedTokens_;
@@ -100,7 +100,7 @@
 
 /// Ours with all parts.
 std::unique_ptr<RoutePolicy>
-MakeOurs(std::size_t aEngines, std::uint64_t aSeed)
+MakeDefault(std::size_t aEngines, std::uint64_t aSeed)
 {
   return std::make_unique<RouterPolicy>(aEngines, aSeed, RouterTuning{});
 }
@@ -133,14 +133,14 @@
 } // namespace
 
 const RoutePolicySpec&
-OurPolicy()
+LibraryPolicy()
 {
-  static const RoutePolicySpec ours{ "expected-completion", MakeOurs };
-  return ours;
+  static const RoutePolicySpec policy{ "expected-completion", MakeDefault };
+  return policy;
 }
 
 const std::vector<RoutePolicySpec>&
-OurVariants()
+LibraryVariants()
 {
   static constexpr std::size_t kFour = 4;
   static const std::vector<RoutePolicySpec> variants{
--- a/src/programs/load/workload.cpp
+++ b/src/programs/load/workload.cpp
@@ -74,9 +74,9 @@
 LiveCallers::Rate() const
 {
   constexpr double kBurstShare = 0.2;
-  const auto into = loop_.Now().sinceStart_ % settings_.burstPeriod_;
+  const auto elapsed = loop_.Now().sinceStart_ % settings_.burstPeriod_;
   const bool burst =
-    static_cast<double>(into.count()) <
+    static_cast<double>(elapsed.count()) <
     kBurstShare * static_cast<double>(settings_.burstPeriod_.count());
   const double rest =
     (1 - kBurstShare * settings_.burstFactor_) / (1 - kBurstShare);
@@ -89,7 +89,7 @@
   if (settings_.perSecond_ <= 0) {
     return;
   }
-  const double gap = Exponential(maker_.Dice(), kMicrosPerSecond / Rate());
+  const double gap = Exponential(maker_.Rng(), kMicrosPerSecond / Rate());
   loop_.After(Duration(static_cast<Duration::rep>(gap)), [this] {
     BenchRequest request = maker_.Make(settings_.shape_,
                                        RequestClass::Live,
@@ -115,7 +115,7 @@
 void
 FakeTrainer::Start()
 {
-  lastPrefix_ = kTrainerPrefixes * (1 + maker_.Dice().Below(kTrainerPrefixes));
+  lastPrefix_ = kTrainerPrefixes * (1 + maker_.Rng().Below(kTrainerPrefixes));
   idleSince_ = loop_.Now();
   OpenStep();
 }
@@ -123,10 +123,10 @@
 void
 FakeTrainer::OpenStep()
 {
-  stepWhole_ = false;
-  opened_ = loop_.Now();
-  missing_.assign(settings_.groups_, settings_.groupSize_);
-  missingGroups_ = settings_.groups_;
+  stepComplete_ = false;
+  openedAt_ = loop_.Now();
+  remaining_.assign(settings_.groups_, settings_.groupSize_);
+  remainingGroups_ = settings_.groups_;
   for (std::uint32_t group = 0; group < settings_.groups_; ++group) {
     ++lastPrefix_;
     for (std::uint32_t member = 0; member < settings_.groupSize_; ++member) {
@@ -140,7 +140,7 @@
 }
 
 void
-FakeTrainer::OnWhole(GenerationId aJob)
+FakeTrainer::OnComplete(GenerationId aJob)
 {
   const auto found = groupOf_.find(aJob);
   if (found == groupOf_.end()) {
@@ -148,12 +148,12 @@
   }
   const std::uint32_t group = found->second;
   groupOf_.erase(found);
-  if (--missing_[group] > 0) {
+  if (--remaining_[group] > 0) {
     return;
   }
-  groupSeconds_.push_back(Seconds(loop_.Now() - opened_));
-  if (--missingGroups_ == 0) {
-    stepWhole_ = true;
+  groupSeconds_.push_back(Seconds(loop_.Now() - openedAt_));
+  if (--remainingGroups_ == 0) {
+    stepComplete_ = true;
     if (!training_) {
       StartTraining();
     }
@@ -171,7 +171,7 @@
   loop_.After(settings_.training_, [this] {
     training_ = false;
     idleSince_ = loop_.Now();
-    if (stepWhole_) {
+    if (stepComplete_) {
       StartTraining();
     }
   });
--- a/src/programs/load/workload.hpp
+++ b/src/programs/load/workload.hpp
@@ -73,7 +73,7 @@
                                   TimePoint aNow);
   /// @returns a prefix of the shape; low numbers are asked for most
   [[nodiscard]] std::uint64_t DrawPrefix(const RequestShape& aShape);
-  [[nodiscard]] Random& Dice() noexcept { return random_; }
+  [[nodiscard]] Random& Rng() noexcept { return random_; }
 
 private:
   Random random_;
@@ -113,7 +113,7 @@
   void Start();
   /// Tells that one of its requests is whole; others are sent again by the
   /// trainer's owner and never end here.
-  void OnWhole(GenerationId aJob);
+  void OnComplete(GenerationId aJob);
   /// @returns time without a whole step to train on, after the first step
   [[nodiscard]] Duration Idle() const noexcept { return idle_; }
   [[nodiscard]] const std::vector<double>& GroupSeconds() const noexcept
@@ -130,11 +130,11 @@
   TrainerSettings settings_;
   BenchSink sink_;
   std::map<GenerationId, std::uint32_t> groupOf_;
-  std::vector<std::uint32_t> missing_;
-  std::uint32_t missingGroups_ = 0;
-  TimePoint opened_;
+  std::vector<std::uint32_t> remaining_;
+  std::uint32_t remainingGroups_ = 0;
+  TimePoint openedAt_;
   std::uint64_t lastPrefix_ = 0;
-  bool stepWhole_ = false;
+  bool stepComplete_ = false;
   bool training_ = false;
   bool trainedOnce_ = false;
   TimePoint idleSince_;
