--- a/src/programs/load/allocation_bench.cpp
+++ b/src/programs/load/allocation_bench.cpp
@@ -1,5 +1,5 @@
-/// `marjoram-load allocation`: engines shared among live callers and three
-/// trainers under noisy demand on a paused clock.
+/// `marjoram-load allocation`: simulates engine allocation among live callers
+/// and three trainers under noisy demand, on a simulated clock.
 
 #include "marjoramtally/process/allocation.hpp"
 #include "marjoramtally/runtime/program.hpp"
@@ -22,12 +22,12 @@
 constexpr std::uint64_t kEngines = 64;
 constexpr std::uint64_t kHours = 4;
 constexpr double kSecondsPerHour = 3600.0;
-/// A burst of live demand starts in the middle of each 10 minutes.
+/// A burst of live demand starts in the middle of each period.
 constexpr double kBurstPeriodSeconds = 600.0;
 constexpr double kBurstSeconds = 120.0;
 constexpr double kBurstDemand = 16.0;
 constexpr double kBaseDemand = 16.0;
-/// Time in which an order of role takes effect and its engine drains.
+/// Time until a role order takes effect and its engine has drained.
 constexpr double kMoveSeconds = 2.0;
 constexpr double kPi = 3.14159265358979;
 constexpr std::array<const char*, 3> kTrainers{ "begravelse",
@@ -35,27 +35,28 @@
                                                 "basar" };
 const EngineUserId kLive{ "live" };
 
-/// One way to allocate.
+/// One allocation scheme of the comparison.
 struct AllocationPlan
 {
   const char* name_;
   AllocationPolicy policy_;
-  /// Engines never move after the start.
+  /// Whether the initial allocation is kept for the whole run.
   bool isFixed_ = false;
 };
 
-/// What came of it.
+/// Measurements of one run.
 struct AllocationOutcome
 {
   std::uint64_t moves_ = 0;
   std::uint64_t urgent_ = 0;
-  /// Live demand that no engine was held for, in engine-seconds.
+  /// Live demand beyond the engines held for it, in engine-seconds.
   double liveShortage_ = 0.0;
-  /// Longest and mean time from a burst's start until it was met.
+  /// Time from the start of a burst until enough engines serve live callers:
+  /// maximum, and sum over all bursts.
   double maxReclaimSeconds_ = 0.0;
   double totalReclaimSeconds_ = 0.0;
   std::uint64_t bursts_ = 0;
-  /// Engines that trainers had work for and held, as a share of all.
+  /// Share of all engines that trainers held and had work for.
   double trainersBusy_ = 0.0;
 };
 
@@ -97,7 +98,8 @@
                   kBaseDemand + wave + noise + (burst ? kBurstDemand : 0.0));
 }
 
-/// A trainer generates for a while, then trains and wants little.
+/// A trainer alternates between generating, with high demand, and training,
+/// with low demand.
 double
 TrainerDemand(std::size_t aTrainer, double aSecond, Random& aRandom)
 {
@@ -137,7 +139,8 @@
     const TimePoint now{ Duration{
       static_cast<Duration::rep>(aSecond * 1e6) } };
     const double live = LiveDemand(aSecond, random_);
-    // Reports are a second old, and show no more than what engines run.
+    // Demand reports are one second old and cannot exceed what the held
+    // engines run.
     allocation_.OnDemand(
       kLive,
       aSecond == 0.0 ? kBaseDemand : std::min(lastLive_, HeldEngines(kLive)),
@@ -178,7 +181,7 @@
     return static_cast<double>(allocation_.Held(aUser));
   }
 
-  /// @returns live callers' engines less those whose move is under way
+  /// @returns engines of live callers without those that are still moving
   double ReadyLiveEngines(double aSecond)
   {
     std::erase_if(arriving_, [aSecond](double aAt) { return aAt <= aSecond; });
--- a/src/programs/load/bench_entry.hpp
+++ b/src/programs/load/bench_entry.hpp
@@ -1,5 +1,5 @@
-/// One entry of the decision bench: queue, routing and attempts, driven by
-/// strategies.
+/// One entry of the decision bench: queues, routes and retries requests with
+/// exchangeable queue and route policies.
 #pragma once
 
 #include "programs/load/policies.hpp"
@@ -15,38 +15,38 @@
 enum class BenchEnd : std::uint8_t
 {
   Complete,
-  /// Refused before any engine had it.
+  /// Refused by the queue, on arrival or while it waited.
   Refused,
-  /// Its deadline passed; its engine, if any, stopped it.
+  /// Its deadline expired; if it was running, its engine cancelled it.
   Late,
-  /// No engine was left to try.
+  /// All engines were tried, or the queue refused the retry.
   Failed,
 };
 
-/// What an entry tells of a request's end.
+/// Outcome of one request, reported by its entry.
 struct BenchOutcome
 {
   BenchRequest request_;
   BenchEnd end_ = BenchEnd::Complete;
   TimePoint at_;
-  /// The last engine; of no meaning if it was never sent.
+  /// Engine of the last attempt; valid only if `attempts_` is not 0.
   EngineIndex engine_;
   bool cacheHit_ = false;
   std::uint64_t attempts_ = 0;
-  /// Tokens generated for it and thrown away.
+  /// Tokens that were generated and discarded.
   std::uint64_t wastedTokens_ = 0;
 };
 
 using OutcomeSink = std::function<void(const BenchOutcome&)>;
 
-/// Real time spent in decisions.
+/// Real (not simulated) time spent in routing decisions.
 struct DecisionCost
 {
   std::uint64_t decisions_ = 0;
   std::uint64_t nanos_ = 0;
 };
 
-/// Not thread-safe; loop and engines outlive it.
+/// Not thread-safe; the loop and the engines must outlive it.
 class BenchEntry
 {
 public:
@@ -57,7 +57,8 @@
              OutcomeSink aSink);
 
   void Submit(BenchRequest aRequest);
-  /// Sends what can be sent now.
+  /// Refuses queued requests that cannot meet their deadline, then sends
+  /// queued requests while engines accept them.
   void DispatchQueued();
   [[nodiscard]] RoutePolicy& Routes() noexcept { return *routes_; }
   [[nodiscard]] const DecisionCost& Cost() const noexcept { return cost_; }
--- a/src/programs/load/decide.cpp
+++ b/src/programs/load/decide.cpp
@@ -19,26 +19,26 @@
 constexpr auto kScenarios = std::to_array<DecideScenario>({
   { "routing", "policies at 50, 90 and 150% load", RunRoutingScenario },
   { "sharing",
-    "trainers of weights 1:1:2 under variants of fair queueing",
+    "trainers with weights 1:1:2 under variants of fair queueing",
     RunSharingScenario },
   { "overload",
-    "live callers, with and without trainers, up to twice the peak",
+    "live callers, with and without trainers, at up to twice the peak",
     RunOverloadScenario },
   { "queue",
-    "time of one request through the queue beside others that wait",
+    "time of queue operations per request while others wait",
     RunQueueScenario },
   { "groups",
-    "groups of samples while one engine at a time is slow",
+    "sample groups while one engine at a time is slow",
     RunGroupsScenario },
   { "faults", "one engine of nine is slow or crashes", RunFaultsScenario },
   { "herding",
-    "candidates and blur, few and many entries",
+    "numbers of candidates and cost jitter, with few and many entries",
     RunHerdingScenario },
   { "cost",
     "real time of a decision at 16 and 1,600 upstreams",
     RunCostScenario },
   { "lead",
-    "how far generation leads a trainer, at three loads",
+    "how far generation runs ahead of a trainer, at three loads",
     RunLeadScenario },
 });
 
@@ -64,7 +64,7 @@
   return list;
 }
 
-/// @returns an exit code if there is nothing to run
+/// @returns an exit code if the program should end without a run
 std::optional<int>
 ParseOptions(int aArgc, char** aArgv, DecideOptions& aOptions)
 {
@@ -75,7 +75,8 @@
   add("help", "print this");
   add("scenario", po::value(&aOptions.scenario_), list.c_str());
   add("seed", po::value(&aOptions.seed_), "seed of all random choices");
-  add("seconds", po::value(&seconds), "length of each run, of paused time");
+  add(
+    "seconds", po::value(&seconds), "length of each run, in simulated seconds");
   add("json", po::bool_switch(&aOptions.json_), "print JSON");
   po::variables_map values;
   try {
@@ -91,7 +92,8 @@
   }
   if (seconds == 0 || seconds > kMaxSeconds ||
       FindScenario(aOptions.scenario_) == nullptr) {
-    std::cerr << "marjoram-load: --seconds 1 to 3600; " << list << '\n';
+    std::cerr << "marjoram-load: --seconds must be from 1 to 3600; " << list
+              << '\n';
     return kExitBadInput;
   }
   aOptions.length_ = std::chrono::seconds(seconds);
--- a/src/programs/load/decide.hpp
+++ b/src/programs/load/decide.hpp
@@ -1,6 +1,6 @@
 /// The decision bench: runs the decision libraries against fake engines on a
-/// paused clock and prints measures for each policy and load. A scenario is
-/// one file with one entry in the table of `decide.cpp`.
+/// simulated clock and prints measurements for each policy and load. Each
+/// scenario has its own file and an entry in the table in `decide.cpp`.
 #pragma once
 
 #include "programs/load/fake_engine.hpp"
@@ -16,17 +16,17 @@
 {
   std::string scenario_ = "routing";
   std::uint64_t seed_ = 1;
-  /// Length of the measured run.
+  /// Length of each run in simulated time.
   Duration length_ = std::chrono::seconds(120);
   bool json_ = false;
 };
 
-/// What one run measured. Measures that a scenario does not have stay empty
+/// Measurements of one run. Those that a scenario does not take stay empty
 /// and are not printed.
 struct DecideRow
 {
   std::string policy_;
-  /// Offered load over the engines' measured peak.
+  /// Offered load divided by the engines' measured peak.
   double load_ = 0;
   std::optional<double> liveLateShare_;
   std::optional<double> liveP50Millis_;
@@ -35,32 +35,33 @@
   std::optional<double> trainerIdleShare_;
   std::optional<double> groupP50Seconds_;
   std::optional<double> groupP99Seconds_;
-  /// Useful tokens over what the engines yield at their peak.
+  /// Useful tokens per second divided by those of the best row.
   std::optional<double> goodputShare_;
-  /// Tokens thrown away over all generated.
+  /// Discarded tokens divided by all generated tokens.
   std::optional<double> wastedShare_;
   std::optional<double> cacheHitShare_;
-  /// Of all trainers the least of share received over share due.
+  /// Minimum over all trainers of the received share divided by the fair share.
   std::optional<double> worstFairShareRatio_;
+  /// Maximum over all trainers of the same ratio.
   std::optional<double> bestFairShareRatio_;
-  /// Cost of whole requests a second.
+  /// Cost of completed requests per second.
   std::optional<double> costPerSecond_;
   /// 99th percentile of the time from arrival to refusal.
   std::optional<double> refusedAfterMillis_;
-  /// Share of live work that went to the slow upstream.
+  /// Share of live requests that were sent to the faulty engine.
   std::optional<double> slowShare_;
   std::optional<double> decisionNanos_;
-  /// Samples delivered over the staleness bound.
+  /// Delivered samples that exceed the staleness bound.
   std::optional<double> overBound_;
-  /// Versions that a delivered sample is behind the trainer, at the mean.
+  /// Mean number of versions that a delivered sample is behind the trainer.
   std::optional<double> staleness_;
-  /// Steps that the trainer got whole.
+  /// Steps that the trainer received completely.
   std::optional<double> steps_;
 };
 
 using DecideRows = std::vector<DecideRow>;
 
-/// One scenario and what runs it.
+/// One scenario and the function that runs it.
 struct DecideScenario
 {
   std::string_view name_;
@@ -88,20 +89,21 @@
 [[nodiscard]] DecideRows
 RunGroupsScenario(const DecideOptions& aOptions);
 
-/// Prints one aligned line for each row, with the columns that have values.
+/// Prints one aligned line for each row; columns without values are omitted.
 void
 PrintTable(const DecideRows& aRows, std::ostream& aOut);
-/// Prints one JSON object for each row.
+/// Prints a JSON array with one object for each row.
 void
 PrintJson(const DecideRows& aRows, std::ostream& aOut);
 
-/// Collects values of one measure.
+/// Collects the values of one measurement.
 class Distribution
 {
 public:
   void Add(double aValue) { values_.push_back(aValue); }
   [[nodiscard]] bool empty() const noexcept { return values_.empty(); }
-  /// @returns the value below which a share of all lies; 0 if there are none
+  /// @param aShare quantile to compute, from 0 to 1
+  /// @returns the value at that quantile; 0 if there are no values
   [[nodiscard]] double Quantile(double aShare) const;
 
 private:
--- a/src/programs/load/decide_cost.cpp
+++ b/src/programs/load/decide_cost.cpp
@@ -1,6 +1,6 @@
-/// The scenario `cost`: real time of one decision and of one change of the
-/// routing state, at 16 and at 1,600 upstreams, and of finding the route of a
-/// request among 16 and 4,216.
+/// The scenario `cost`: measures the real time of one routing decision and of
+/// one routing state change with 16 and 1,600 upstreams, and of one route
+/// lookup among 16 and 4,216 routes.
 
 #include "marjoramtally/process.hpp"
 #include "programs/load/decide.hpp"
@@ -63,7 +63,7 @@
   return static_cast<double>(nanos) / static_cast<double>(aCount);
 }
 
-/// @returns the median time of a pick
+/// @returns the median time of one pick, in nanoseconds
 double
 TimePicks(Router& aRouter, std::uint64_t aSeed)
 {
@@ -93,7 +93,8 @@
   return samples.Quantile(0.5);
 }
 
-/// @returns the worst median of threads that pick at once
+/// @returns the highest median time per pick among threads that pick
+/// concurrently, in nanoseconds
 double
 TimePicksOfThreads(Router& aRouter)
 {
@@ -109,7 +110,8 @@
   return *std::max_element(nanos.begin(), nanos.end());
 }
 
-/// @returns the median time of a report that changes a weight version
+/// @returns the median time to apply a report that changes a weight version,
+/// in nanoseconds
 double
 TimeChanges(Router& aRouter, const std::vector<UpstreamView>& aViews)
 {
@@ -124,7 +126,8 @@
   return samples.Quantile(0.5);
 }
 
-/// @returns the median time of finding the route of a path
+/// @returns the median time of one route lookup, in nanoseconds; -1 if a
+/// lookup failed
 double
 TimeMatches(std::size_t aRoutes)
 {
--- a/src/programs/load/decide_faults.cpp
+++ b/src/programs/load/decide_faults.cpp
@@ -1,5 +1,5 @@
-/// The scenario `faults`: one engine of nine becomes ten times slower, or
-/// crashes and comes back, at 70% load.
+/// The scenario `faults`: one of nine engines becomes ten times slower, or
+/// crashes and restarts, at 70% load.
 
 #include "programs/load/offered_load.hpp"
 
@@ -12,10 +12,11 @@
 constexpr EngineIndex kFaultyEngine{ 4 };
 constexpr TimePoint kFaultStart{ std::chrono::seconds(30) };
 constexpr TimePoint kFaultEnd{ std::chrono::seconds(70) };
-/// The share of live work is taken from this long after the fault.
+/// The faulty engine's share of live requests is counted only from this long
+/// after the fault, so that policies have time to react.
 constexpr Duration kReactionTime = std::chrono::seconds(2);
 
-/// One fault: how it starts and ends.
+/// One kind of fault and how to start and end it.
 struct Fault
 {
   std::string_view name_;
@@ -32,11 +33,11 @@
     [](FakeEngine& aEngine) { aEngine.Restart(); } },
 } };
 
-/// What live callers saw that came during the fault.
+/// Counts of the live requests that arrived during the fault.
 struct LiveFaultCounts
 {
   std::uint64_t live_ = 0;
-  /// Late, or failed in the caller's eyes.
+  /// Late, refused or failed.
   std::uint64_t notInTime_ = 0;
   std::uint64_t afterReaction_ = 0;
   std::uint64_t atFaultyEngine_ = 0;
--- a/src/programs/load/decide_groups.cpp
+++ b/src/programs/load/decide_groups.cpp
@@ -1,5 +1,5 @@
-/// The scenario `groups`: groups of samples on engines of which one at a time
-/// is ten times slower for a while, under each way with late members.
+/// The scenario `groups`: generates groups of samples while one engine at a
+/// time is ten times slower, with each way to handle straggling members.
 
 #include "programs/load/decide.hpp"
 #include "programs/load/workload.hpp"
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kEngines = 9;
 constexpr std::uint64_t kGroupSize = 8;
-/// Groups in progress; half of the slots.
+/// Their members take half of the engines' slots.
 constexpr std::uint64_t kGroupsInProgress = 27;
 constexpr std::size_t kSlots = 48;
 constexpr double kMeanTokens = 150;
@@ -24,12 +24,13 @@
 constexpr Duration kSlowPeriod = std::chrono::seconds(40);
 constexpr Duration kReviewPeriod = std::chrono::milliseconds(100);
 
-/// A way with late members.
+/// One way to handle straggling members.
 struct GroupVariant
 {
   std::string_view name_;
   bool actsOnStragglers_ = false;
-  /// Whether engines tell their progress, so that members can be resumed.
+  /// Whether engines report progress, which allows members to be resumed on
+  /// another engine.
   bool reportsProgress_ = false;
 };
 
@@ -122,7 +123,7 @@
       job, [this, aTicket, id = job.id_](auto) { Finish(aTicket, id); });
   }
 
-  /// The first whole run wins; the others are cancelled.
+  /// The first run to complete wins; the others are cancelled.
   void Finish(TicketId aTicket, GenerationId aJob)
   {
     const Member member = std::move(members_.at(aTicket));
--- a/src/programs/load/decide_herding.cpp
+++ b/src/programs/load/decide_herding.cpp
@@ -1,5 +1,6 @@
-/// The scenario `herding`: few and many entries read the same late reports,
-/// with different numbers of candidates, blur and use of the reports.
+/// The scenario `herding`: few and many entries act on the same delayed
+/// reports, with different numbers of candidates, with and without cost jitter
+/// and correction of the reports.
 
 #include "programs/load/offered_load.hpp"
 
--- a/src/programs/load/decide_lead.cpp
+++ b/src/programs/load/decide_lead.cpp
@@ -1,6 +1,6 @@
-/// Scenario: how far generation may lead the trainer. One trainer, a few
-/// fake engines that take new weights one after another, strict on-policy,
-/// unlimited lead and first in, first out as baselines.
+/// The scenario `lead`: how far generation may run ahead of the trainer. One
+/// trainer uses fake engines that load new weights one after another; the
+/// baselines are strict on-policy, unlimited lead and first in, first out.
 
 #include "marjoramtally/version.hpp"
 #include "programs/load/decide.hpp"
@@ -17,26 +17,26 @@
 constexpr std::uint32_t kGroupSize = 8;
 constexpr std::uint64_t kPromptTokens = 200;
 constexpr std::uint32_t kInFlight = 384;
-/// Generations at one engine at once.
+/// Concurrent generations on one engine.
 constexpr std::uint64_t kEngineLimit = 48;
-/// After an announcement the first engine has the version this much later,
-/// and each further one after another pause.
+/// Delay from the announcement of a version until the first engine serves it,
+/// and between one engine and the next.
 constexpr Duration kFirstSwapDelay{ 500'000 };
 constexpr Duration kSwapInterval{ 200'000 };
-/// Of a thousand generations, how many fail.
 constexpr std::uint64_t kFailuresPerMille = 5;
 constexpr std::array kLoads{ 0.6, 0.9, 1.2 };
 
-/// One way to lead and its staleness bound.
+/// One lead policy and its staleness bound.
 struct LeadCase
 {
   const char* name_;
   const char* policy_;
+  /// Staleness bound in weight versions.
   std::uint64_t bound_;
-  /// Steps opened ahead of the one that is taken.
+  /// Steps opened ahead of the one that the trainer takes.
   std::uint64_t ahead_;
-  /// Whether samples start in the order of their opening, failed ones last,
-  /// members of a group apart.
+  /// Whether samples start in the order in which they were opened, with failed
+  /// ones at the end and the members of a group not next to each other.
   bool fifo_ = false;
 };
 
@@ -50,7 +50,7 @@
   { "freshness, bound 2", "freshness", 2, 2 },
 } };
 
-/// Output tokens: most are short, one in twenty is a straggler.
+/// @returns a number of output tokens; one generation in twenty is a straggler
 std::uint64_t
 OutputTokens(Random& aRandom)
 {
@@ -61,7 +61,7 @@
   return tokens + (aRandom.Below(20) == 0 ? kStraggler : 0);
 }
 
-/// An engine and the version it has.
+/// An engine and the weight version that it serves.
 struct Sampler
 {
   std::unique_ptr<FakeEngine> engine_;
@@ -89,7 +89,7 @@
     }
   }
 
-  /// Runs until a time and counts from the end of the first step on.
+  /// Runs for a length of time; measures from the end of the first step.
   DecideRow Run(Duration aLength)
   {
     BeginStep();
@@ -107,7 +107,8 @@
     return row;
   }
 
-  /// @returns how long the first step took, which nothing can lead
+  /// @returns the time to generate the first step, which cannot be generated
+  /// ahead
   [[nodiscard]] Duration FirstStep() const noexcept { return firstStep_; }
 
 private:
@@ -133,7 +134,8 @@
   {
     StepSpec spec;
     spec.step_ = StepId{ aStep };
-    // Who leads without limit does not foresee at which version it is taken.
+    // With unlimited lead, the version at which a step will be taken is not
+    // predicted.
     const bool foreseen = std::string_view(case_.policy_) != "unlimited";
     spec.version_ = foreseen ? WeightVersion{ aStep } : version_;
     spec.groupSize_ = kGroupSize;
@@ -210,7 +212,8 @@
       });
   }
 
-  /// A swap in the middle gives two versions; the first is the oldest.
+  /// A weight swap during generation gives the sample two versions, the older
+  /// one first.
   void Finish(const SampleId& aSample,
               WeightVersion aFrom,
               WeightVersion aTo,
@@ -231,7 +234,7 @@
     ledger_.OnGenerated(std::move(sample), loop_.Now());
   }
 
-  /// The trainer takes whatever is ready of its present step.
+  /// The trainer takes all ready samples of its current step.
   void TakeReady()
   {
     if (waitingSince_ == kNever) {
@@ -318,7 +321,7 @@
   std::uint64_t overBound_ = 0;
 };
 
-/// @returns the time of a step that nothing leads
+/// @returns the time to generate a step that is not generated ahead
 Duration
 MeasureStep(std::uint64_t aSeed)
 {
--- a/src/programs/load/decide_output.cpp
+++ b/src/programs/load/decide_output.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// One column: a measure and how it is printed.
+/// One column: a measurement and its number of decimals.
 struct Column
 {
   const char* name_;
--- a/src/programs/load/decide_overload.cpp
+++ b/src/programs/load/decide_overload.cpp
@@ -1,5 +1,5 @@
-/// The scenario `overload`: live callers alone, and live callers beside
-/// trainers, up to twice the engines' peak, with and without early refusal.
+/// The scenario `overload`: live callers, with and without trainers, at up to
+/// twice the engines' peak, with and without early refusal.
 
 #include "programs/load/fleet.hpp"
 #include "programs/load/queue_variants.hpp"
@@ -12,12 +12,12 @@
 
 constexpr std::array<double, 5> kLoads{ 0.7, 0.9, 1.1, 1.5, 2.0 };
 constexpr std::uint64_t kTrainers = 3;
-/// Generating a step takes its share of the engines about this long.
+/// Approximate time to generate one step on a trainer's share of the engines.
 constexpr double kStepSeconds = 20;
-/// What one entry may have at nine engines.
+/// Requests that one entry may have in flight on nine engines.
 constexpr std::uint64_t kEntrySlots = 9 * kSlotsPerEngine;
 
-/// Who asks.
+/// A mix of live callers and trainers.
 struct CallerMix
 {
   std::string_view name_;
@@ -85,7 +85,7 @@
   return row;
 }
 
-/// Turns goodput into its share of the best of all rows.
+/// Divides the goodput of each row by the best one, from row `aFrom` on.
 void
 ScaleGoodput(DecideRows& aRows, std::size_t aFrom)
 {
--- a/src/programs/load/decide_queue.cpp
+++ b/src/programs/load/decide_queue.cpp
@@ -1,5 +1,5 @@
-/// The scenario `queue`: real time of one request through the queue (enqueue,
-/// next, dispatch, complete) beside others that wait.
+/// The scenario `queue`: measures the real time that one request spends in
+/// queue operations (enqueue, next, dispatch, complete) while others wait.
 
 #include "programs/load/decide.hpp"
 
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kClassesInTurn = 14;
 const ServiceId kQueueService{ "bench" };
 
-/// Twelve trainers, live and background callers in turn.
+/// Makes requests of twelve trainers, a live and a background caller in turn.
 QueuedRequest
 MakeRequest(std::uint64_t aNumber, TimePoint aNow, Random& aRandom)
 {
--- a/src/programs/load/decide_routing.cpp
+++ b/src/programs/load/decide_routing.cpp
@@ -1,5 +1,6 @@
-/// The scenario `routing`: one service on a mixed fleet, live callers and
-/// three trainers, at several loads, with reports that lag one second.
+/// The scenario `routing`: one service on engines of different speed, with
+/// live callers and three trainers, at several loads and with reports that are
+/// one second old.
 
 #include "programs/load/offered_load.hpp"
 #include "programs/load/queue_variants.hpp"
@@ -12,7 +13,8 @@
 
 constexpr std::array<double, 3> kLoads{ 0.5, 0.9, 1.5 };
 
-/// Slots that an entry counts on: its part of the batches.
+/// Requests that one entry may have in flight: its share of the batches of
+/// nine engines.
 constexpr std::uint64_t kEntrySlots = 9 * kSlotsPerEngine;
 
 std::unique_ptr<QueuePolicy>
@@ -40,7 +42,7 @@
   return row;
 }
 
-/// Turns goodput into its share of the best of all rows.
+/// Divides the goodput of each row by the best one.
 void
 ScaleGoodput(DecideRows& aRows)
 {
--- a/src/programs/load/decide_sharing.cpp
+++ b/src/programs/load/decide_sharing.cpp
@@ -1,5 +1,5 @@
-/// The scenario `sharing`: three trainers of weights 1:1:2, the first with
-/// requests ten times longer, under each variant of fair queueing.
+/// The scenario `sharing`: three trainers with weights 1:1:2, where the first
+/// sends requests ten times longer, under each variant of fair queueing.
 
 #include "programs/load/fleet.hpp"
 #include "programs/load/queue_variants.hpp"
@@ -13,22 +13,24 @@
 constexpr std::size_t kTrainers = 3;
 constexpr std::array<std::uint64_t, kTrainers> kWeights{ 1, 1, 2 };
 constexpr std::array<double, kTrainers> kMeanTokens{ 500, 50, 50 };
-/// Tokens that requests ask for at most; what they generate is learned.
+/// Output limit that requests state; the queue learns the real output length.
 constexpr std::uint64_t kRequestedTokens = 2048;
 
-/// How trainers send.
+/// How trainers send their requests.
 struct SendPattern
 {
   std::string_view name_;
-  /// Requests that a trainer has outstanding, by trainer.
+  /// Outstanding requests, by trainer.
   std::array<std::size_t, kTrainers> outstanding_;
-  /// Whether the next group is sent only when the last one is whole.
+  /// Whether a trainer sends its next group only when the last one is
+  /// complete.
   std::array<bool, kTrainers> grouped_;
-  /// Time between a whole group and the next one.
+  /// Time between the completion of a group and the next one.
   Duration pause_;
 };
 
-/// Always backlogged; groups with pauses; few long requests against many.
+/// Continuous backlog; groups with pauses; groups of half the size with shorter
+/// pauses.
 const std::array<SendPattern, 3> kPatterns{ {
   { "backlog", { 600, 600, 600 }, { false, false, false }, Duration(0) },
   { "groups",
@@ -41,8 +43,8 @@
     std::chrono::milliseconds(100) },
 } };
 
-/// Cost for each unit of weight by which a flow may be ahead: four of the
-/// longest trainer's requests, or sixteen.
+/// Cost per unit of weight by which a flow may be ahead: 4 or 16 requests of
+/// the trainer with the longest ones.
 constexpr double kThrottle = 2000;
 constexpr double kWideThrottle = 8000;
 
@@ -80,7 +82,7 @@
   return variants;
 }
 
-/// Sends one trainer's requests and counts the cost of its whole ones.
+/// Sends the requests of one trainer and sums the cost of completed ones.
 class Sender
 {
 public:
@@ -141,7 +143,8 @@
   double cost_ = 0;
 };
 
-/// @returns each trainer's share of the cost over its due share, and the cost
+/// @returns each trainer's share of the cost divided by its fair share, and the
+/// total cost
 std::pair<std::vector<double>, double>
 FairShareRatios(const std::vector<std::unique_ptr<Sender>>& aSenders)
 {
--- a/src/programs/load/direct_gossip.cpp
+++ b/src/programs/load/direct_gossip.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr std::size_t kSeeds = 3;
-/// Start of the first process, in milliseconds of wall time.
+/// Incarnation at simulated time 0, in milliseconds of wall time.
 constexpr std::uint64_t kFirstIncarnation = 1'700'000'000'000;
 
 std::uint64_t
--- a/src/programs/load/direct_gossip.hpp
+++ b/src/programs/load/direct_gossip.hpp
@@ -1,5 +1,5 @@
-/// Drives many membership cores on a paused clock by direct calls: a message
-/// arrives at once, is lost, or finds nobody.
+/// Connects many membership cores by direct calls on a simulated clock. A
+/// message is delivered at once, lost, or sent to an unknown address.
 #pragma once
 
 #include "marjoramtally/process/membership.hpp"
@@ -9,15 +9,16 @@
 
 namespace marjoramtally {
 
-/// What one member sent and handled.
+/// Message traffic of one member.
 struct GossipTraffic
 {
   std::uint64_t bytesSent_ = 0;
   std::uint64_t bytesReceived_ = 0;
+  /// Messages handled.
   std::uint64_t handled_ = 0;
 };
 
-/// Members by number, their clock and what may go wrong between them.
+/// A simulated cluster of numbered members with message loss and partitions.
 class DirectGossip
 {
 public:
@@ -26,14 +27,14 @@
   {
   }
 
-  /// Adds a member; it joins by `aSeeds` of the members before it.
+  /// Adds a member; it joins through randomly chosen earlier members.
   /// @returns its number
   std::size_t Add(const std::string& aName,
                   const std::string& aZone,
                   MembershipOptions aOptions = {});
-  /// Replaces a member by a new process at the same address.
+  /// Replaces a member with a new process at the same address.
   void Restart(std::size_t aNumber);
-  /// Lets time pass in steps, ticking all members that run.
+  /// Advances the clock in steps and ticks all running members.
   void Run(Duration aTime);
 
   [[nodiscard]] Membership& At(std::size_t aNumber)
@@ -47,18 +48,19 @@
     return nodes_.at(aNumber).traffic_;
   }
 
-  /// Neither ticks nor answers.
+  /// A stopped member neither ticks nor replies.
   void SetStopped(std::size_t aNumber, bool aStopped)
   {
     nodes_.at(aNumber).stopped_ = aStopped;
   }
-  /// Whether a message from one member reaches the other.
+  /// Returns whether a message from one member reaches the other; all do if
+  /// it is not set.
   std::function<bool(std::size_t aFrom, std::size_t aTo)> reaches_;
-  /// Of a thousand messages, how many are lost.
+  /// Lost messages per thousand.
   std::uint64_t lostPerMille_ = 0;
-  /// Encodes and decodes each message and counts its bytes.
+  /// Whether each message is encoded and decoded and its bytes counted.
   bool encodeMessages_ = true;
-  /// Length of one step.
+  /// Length of one clock step.
   Duration step_ = std::chrono::milliseconds(200);
 
 private:
@@ -69,7 +71,7 @@
     GossipTraffic traffic_;
     bool stopped_ = false;
   };
-  /// Who waits for the answer to a request.
+  /// A request that waits for its reply.
   struct PendingCall
   {
     std::size_t from_ = 0;
--- a/src/programs/load/event_loop.hpp
+++ b/src/programs/load/event_loop.hpp
@@ -1,4 +1,4 @@
-/// A paused clock that jumps from event to event: the decision bench's time.
+/// Discrete-event loop of the benches; its clock jumps from event to event.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -9,8 +9,8 @@
 
 namespace marjoramtally::bench {
 
-/// Runs actions in the order of their times; ties in the order of their
-/// making. Not thread-safe.
+/// Runs actions in the order of their times, and in the order of scheduling
+/// where times are equal. Not thread-safe.
 class EventLoop
 {
 public:
@@ -18,7 +18,7 @@
 
   [[nodiscard]] TimePoint Now() const noexcept { return now_; }
 
-  /// Plans an action; a time that has passed means now.
+  /// Schedules an action; a time in the past means now.
   void At(TimePoint aTime, Action aAction)
   {
     events_.push({ std::max(aTime, now_), ++lastOrder_, std::move(aAction) });
@@ -29,7 +29,7 @@
     At(now_ + aDelay, std::move(aAction));
   }
 
-  /// Repeats an action until the end of the run.
+  /// Repeats an action with a period until the end of the run.
   void Every(Duration aPeriod, const Action& aAction)
   {
     After(aPeriod, [this, aPeriod, aAction] {
@@ -38,7 +38,7 @@
     });
   }
 
-  /// Runs all events up to a time and leaves the clock there.
+  /// Runs all events up to and including a time and sets the clock to it.
   void RunUntil(TimePoint aEnd)
   {
     while (!events_.empty() && events_.top().at_ <= aEnd) {
--- a/src/programs/load/experiments.hpp
+++ b/src/programs/load/experiments.hpp
@@ -5,7 +5,7 @@
 
 int
 RunHttpLoad(int aArgc, char** aArgv);
-/// Membership core at the size to design for.
+/// Runs the membership core at the design size.
 int
 RunMembershipBench(int aArgc, char** aArgv);
 
--- a/src/programs/load/fleet.cpp
+++ b/src/programs/load/fleet.cpp
@@ -13,7 +13,7 @@
                      : static_cast<double>(aPart) / static_cast<double>(aTotal);
 }
 
-/// @returns how many times longer an engine takes
+/// @returns the factor on an engine's step times
 double
 Slowdown(const FleetSettings& aSettings, std::size_t aEngine) noexcept
 {
--- a/src/programs/load/fleet.hpp
+++ b/src/programs/load/fleet.hpp
@@ -1,5 +1,5 @@
-/// A fleet of fake engines before several entries, with late reports and
-/// late, gappy cache events; it keeps the measures of one run.
+/// A fleet of fake engines behind several entries, with delayed reports and
+/// delayed, partly lost cache events; it keeps the measurements of one run.
 #pragma once
 
 #include "programs/load/bench_entry.hpp"
@@ -7,26 +7,26 @@
 
 namespace marjoramtally::bench {
 
-/// How a fleet is built.
+/// Configuration of a fleet.
 struct FleetSettings
 {
   std::size_t engines_ = 9;
   std::size_t entries_ = 6;
   EngineSettings engine_;
-  /// Every third engine takes this many times longer; 1 is a uniform fleet.
+  /// Factor on the step times of every third engine; 1 for a uniform fleet.
   double olderSlowdown_ = 1;
   /// Age of a report when it reaches an entry.
   Duration reportLag_ = std::chrono::seconds(1);
   Duration reportPeriod_ = std::chrono::milliseconds(200);
   Duration cacheEventLag_ = std::chrono::milliseconds(500);
-  /// Share of cache events that are lost.
+  /// Share of cache events that are lost, from 0 to 1.
   double cacheEventLoss_ = 0.2;
   std::uint64_t seed_ = 1;
-  /// Ends before this time are not measured.
+  /// Requests that end before this time are not counted.
   TimePoint measureFrom_{ std::chrono::seconds(5) };
 };
 
-/// What one run counts.
+/// Measurements of one run.
 struct FleetMeasures
 {
   std::uint64_t live_ = 0;
@@ -44,7 +44,7 @@
   Distribution refusedAfterMillis_;
 };
 
-/// Not thread-safe; one fleet is one run.
+/// Not thread-safe; a fleet serves a single run.
 class Fleet
 {
 public:
@@ -54,14 +54,14 @@
         const RoutePolicySpec& aRoutes,
         const MakeQueue& aMakeQueue = MakeClassQueue);
 
-  /// Adds live callers; they start with the run.
+  /// Adds live callers, which start with the run.
   void AddLive(const LiveSettings& aSettings);
-  /// Adds a trainer; it starts with the run.
+  /// Adds a trainer, which starts with the run.
   void AddTrainer(const TrainerSettings& aSettings);
-  /// Runs for a length of paused time.
+  /// Runs for a length of simulated time.
   void Run(Duration aLength);
 
-  /// Hands a request to one of the entries.
+  /// Submits a request to a randomly chosen entry.
   void Submit(BenchRequest aRequest);
 
   [[nodiscard]] EventLoop& Loop() noexcept { return loop_; }
@@ -73,9 +73,9 @@
   {
     return measures_;
   }
-  /// Called with every outcome, measured or not.
+  /// Sets a listener for every outcome, including those not counted.
   void OnOutcome(OutcomeSink aListener) { listener_ = std::move(aListener); }
-  /// @returns the measures that all scenarios share
+  /// @returns the measurements that all scenarios share
   [[nodiscard]] DecideRow Row(std::string_view aPolicy, double aLoad) const;
 
 private:
@@ -96,12 +96,12 @@
   FleetMeasures measures_;
 };
 
-/// @returns the engines' speeds added up, in engines of the usual speed
+/// @returns the sum of the engines' speeds, in engines of nominal speed
 [[nodiscard]] double
 TotalSpeed(const FleetSettings& aSettings) noexcept;
 
-/// Measures the requests per second that one engine completes of a mix of
-/// live and trainer requests when it is never out of work.
+/// Measures the requests per second that one saturated engine completes, for a
+/// mix of live and trainer requests.
 /// @param aLiveShare share of live requests among all requests
 [[nodiscard]] double
 MeasurePeakRequests(const EngineSettings& aEngine,
--- a/src/programs/load/http_load.cpp
+++ b/src/programs/load/http_load.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-/// An answer is waited for so long after its deadline.
+/// Time that a call waits for an answer beyond its deadline.
 constexpr auto kAnswerGrace = std::chrono::seconds(2);
 
-/// The body that names a call of one load.
+/// @returns the body that identifies a call of a load
 std::string
 BodyOf(std::uint64_t aSeed, std::size_t aNumber)
 {
   return "load-" + std::to_string(aSeed) + "-" + std::to_string(aNumber);
 }
 
-/// Makes the planned calls and keeps what came of each.
+/// Makes the planned calls and records the outcome of each.
 class LoadRun
 {
 public:
@@ -57,7 +57,8 @@
 private:
   [[nodiscard]] Duration SinceStart() const { return clock_.Now() - start_; }
 
-  /// Arrivals do not wait for answers.
+  /// Open loop: calls start at their planned times, whether or not earlier
+  /// ones were answered.
   void RunOpen()
   {
     for (std::size_t i = 0; i < load_.calls_.size(); ++i) {
@@ -74,7 +75,7 @@
     }
   }
 
-  /// Each answer starts the next call.
+  /// Closed loop: each answer starts the next call.
   void RunClosed()
   {
     for (std::uint64_t i = 0; i < options_.inFlight_; ++i) {
@@ -164,7 +165,7 @@
       const HttpResult result = SendAndWait(*client, std::move(call));
       if (result.end_ != HttpEnd::Whole || result.response_.status_ != 200) {
         std::cerr << "marjoram-load: " << fault.address_
-                  << " did not take the fault: " << result.message_
+                  << " rejected the fault: " << result.message_
                   << result.response_.body_ << '\n';
       }
     }
--- a/src/programs/load/ledger_bench.cpp
+++ b/src/programs/load/ledger_bench.cpp
@@ -1,5 +1,5 @@
-/// Experiment `ledger`: time and memory of a step's ledger, and time per
-/// candidate of the journal.
+/// `marjoram-load ledger`: measures time and memory of a step's ledger, and the
+/// time to append to and read the sample journal.
 
 #include "marjoramtally/runtime/program.hpp"
 #include "marjoramtally/version.hpp"
@@ -21,12 +21,13 @@
 constexpr std::array<std::uint32_t, 3> kSizes{ 512, 2048, 8192 };
 constexpr std::uint64_t kJournalBytes = 256U << 20U;
 
-/// Times of repeated operations; the median leaves out what a busy machine
-/// adds.
+/// Times repeated operations. The median is reported because it is robust
+/// against delays on a busy machine.
 class Stopwatch
 {
 public:
-  /// @param aExpected room made ahead, so that the heap can be measured
+  /// @param aExpected capacity reserved in advance, so that the stopwatch
+  /// does not allocate while the heap is measured
   explicit Stopwatch(std::size_t aExpected = 0) { nanos_.reserve(aExpected); }
 
   template<typename Function>
@@ -76,7 +77,8 @@
   return sample;
 }
 
-/// The way that starts were found before: the first wanted slot, by a scan.
+/// Baseline for finding the next sample to start: a linear scan for the first
+/// slot that has not started.
 std::size_t
 ScanForWanted(std::vector<std::uint8_t>& aStarted)
 {
@@ -96,7 +98,7 @@
   return watch.MedianNanos();
 }
 
-/// Takes until the whole step is held.
+/// Takes samples until the client holds the complete step.
 Stopwatch
 TimeTakes(TrainerLedger& aLedger, std::uint32_t aSize)
 {
--- a/src/programs/load/load_options.cpp
+++ b/src/programs/load/load_options.cpp
@@ -25,14 +25,17 @@
   add("url",
       po::value(&aOptions.urls_)->composing()->required(),
       "address to call; several are called in turn");
-  add("rate", po::value(&spec.rate_), "open loop: calls a second, Poisson");
-  add("seconds", po::value(&aOptions.seconds_), "open loop: length");
-  add(
-    "in-flight", po::value(&aOptions.inFlight_), "closed loop: calls at once");
-  add("calls", po::value(&spec.calls_), "closed loop: calls in all");
+  add("rate",
+      po::value(&spec.rate_),
+      "open loop: calls per second, with Poisson arrivals");
+  add("seconds", po::value(&aOptions.seconds_), "open loop: length in seconds");
+  add("in-flight",
+      po::value(&aOptions.inFlight_),
+      "closed loop: concurrent calls");
+  add("calls", po::value(&spec.calls_), "closed loop: total number of calls");
   add("class",
       po::value(&aOptions.classes_)->composing(),
-      "NAME:WEIGHT:DEADLINE such as live:3:100ms; several mix");
+      "NAME:WEIGHT:DEADLINE such as live:3:100ms; several are mixed");
   add("non-idempotent",
       po::value(&spec.nonIdempotentShare_),
       "share of calls with an idempotency key, 0 to 1");
@@ -42,7 +45,7 @@
   add("records",
       po::value(&aOptions.records_),
       "folder of plain stand-ins' records to check outcomes against");
-  add("seed", po::value(&spec.seed_), "fixes arrivals and mix");
+  add("seed", po::value(&spec.seed_), "seed of arrivals and mix");
   add("threads", po::value(&aOptions.threads_), "sending threads");
   add("json", po::bool_switch(&aOptions.json_), "print JSON");
   return described;
@@ -64,7 +67,7 @@
                        aText.substr(second + 1) };
 }
 
-/// Parses what has a form of its own; adds to the findings.
+/// Parses the classes and planned faults; adds errors to the findings.
 void
 ParseClassesAndFaults(LoadOptions& aOptions, Findings& aFindings)
 {
@@ -90,7 +93,7 @@
   }
 }
 
-/// Checks bounds and settles how many calls there are.
+/// Checks bounds and computes the number of calls of an open loop.
 Findings
 CheckOptions(LoadOptions& aOptions)
 {
@@ -112,11 +115,11 @@
   if (spec.rate_ > kMaxRate || spec.calls_ < 1 || spec.calls_ > kMaxCalls ||
       aOptions.inFlight_ > kMaxInFlight) {
     findings.Add(place,
-                 "bounds: --rate to 100000, 1 to 2000000 calls in all, "
-                 "--in-flight to 20000");
+                 "limits: --rate at most 100000, 1 to 2000000 calls in total, "
+                 "--in-flight at most 20000");
   }
   if (spec.nonIdempotentShare_ < 0 || spec.nonIdempotentShare_ > 1) {
-    findings.Add(place, "--non-idempotent is a share from 0 to 1");
+    findings.Add(place, "--non-idempotent must be from 0 to 1");
   }
   return findings;
 }
--- a/src/programs/load/load_options.hpp
+++ b/src/programs/load/load_options.hpp
@@ -7,19 +7,20 @@
 
 namespace marjoramtally {
 
-/// Bound of calls in flight of an open loop; arrivals beyond it are counted
-/// and not made.
+/// Maximum number of calls in flight. Calls of an open loop beyond it are
+/// counted but not made.
 inline constexpr std::uint64_t kMaxInFlight = 20'000;
 
-/// Something to ask of a stand-in during the load.
+/// A fault to set on a stand-in during the load.
 struct PlannedFault
 {
+  /// From the start of the load.
   Duration at_{ 0 };
   std::string address_;
   std::string body_;
 };
 
-/// What the command line gave.
+/// Options of the command line.
 struct LoadOptions
 {
   std::vector<std::string> urls_;
@@ -34,8 +35,8 @@
   bool json_ = false;
 };
 
-/// Parses and checks the command line, telling standard error what is wrong.
-/// @returns whether to run; otherwise `aExitCode` is set
+/// Parses and checks the command line; prints errors to standard error.
+/// @returns true if the load should run; otherwise `aExitCode` is set
 [[nodiscard]] bool
 ParseLoadOptions(int aArgc,
                  char** aArgv,
--- a/src/programs/load/load_plan.hpp
+++ b/src/programs/load/load_plan.hpp
@@ -1,4 +1,4 @@
-/// What an HTTP load asks for and when; a seed fixes all of it.
+/// Plan of an HTTP load: the calls and their times, determined by a seed.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -10,7 +10,7 @@
 {
   /// Sent as `X-Class`: `live` or `background`.
   std::string name_;
-  /// Weight against the other classes.
+  /// Weight relative to the other classes.
   double weight_ = 1;
   Duration deadline_{ 0 };
 };
@@ -19,28 +19,28 @@
 [[nodiscard]] Result<LoadClass>
 ParseLoadClass(const std::string& aText);
 
-/// What to plan.
+/// Parameters of a plan.
 struct LoadSpec
 {
   std::vector<LoadClass> classes_;
-  /// Calls a second; arrivals are a Poisson process.
+  /// Calls per second, with Poisson arrivals; 0 for a closed loop.
   double rate_ = 0;
   std::uint64_t calls_ = 0;
-  /// Share of calls that must not run twice, from 0 to 1.
+  /// Share of non-idempotent calls, from 0 to 1.
   double nonIdempotentShare_ = 0;
   std::uint64_t seed_ = 1;
 };
 
-/// One call to make.
+/// One planned call.
 struct PlannedCall
 {
-  /// From the start of the load; zero throughout if there is no rate.
+  /// From the start of the load; 0 for all calls of a closed loop.
   Duration at_{ 0 };
   std::size_t class_ = 0;
   bool idempotent_ = true;
 };
 
-/// @returns the calls in the order of their arrival
+/// @returns the calls in order of arrival
 [[nodiscard]] std::vector<PlannedCall>
 PlanCalls(const LoadSpec& aSpec);
 
--- a/src/programs/load/load_report.cpp
+++ b/src/programs/load/load_report.cpp
@@ -19,7 +19,7 @@
   "in_time", "late", "refused", "unknown", "not_started", "wrong"
 };
 
-/// Counts and latencies of one class, or of all.
+/// Counts and latencies of one class, or of all calls.
 struct Tally
 {
   std::string name_;
@@ -44,7 +44,8 @@
              : static_cast<double>(aCount) / static_cast<double>(asked_);
   }
 
-  /// Neither answered in time nor truthfully refused.
+  /// @returns the share of calls that were neither answered in time nor refused
+  /// as not run
   [[nodiscard]] double LateShare() const
   {
     const auto count = [this](CallEnd aEnd) {
@@ -111,7 +112,7 @@
   return out;
 }
 
-/// How often each body was run, by the records in a folder.
+/// @returns how often each body was run, according to the records in a folder
 std::unordered_map<std::string, std::uint64_t>
 CountRuns(const std::string& aFolder)
 {
--- a/src/programs/load/load_report.hpp
+++ b/src/programs/load/load_report.hpp
@@ -1,4 +1,4 @@
-/// What came of an HTTP load, as a table and as JSON.
+/// Results of an HTTP load, as a table and as JSON.
 #pragma once
 
 #include "programs/load/load_plan.hpp"
@@ -11,17 +11,17 @@
 /// How a call ended for its caller.
 enum class CallEnd : std::uint8_t
 {
-  /// The whole right answer, within the deadline.
+  /// The complete, correct answer within the deadline.
   InTime,
-  /// The whole right answer, after the deadline.
+  /// The complete, correct answer after the deadline.
   Late,
-  /// Refused, and said not to have been run.
+  /// Refused and reported as not run.
   Refused,
-  /// No whole answer, or one that says that the outcome is unknown.
+  /// No complete answer, or one with an unknown outcome.
   Unknown,
-  /// Not started, as the bound of calls in flight was reached.
+  /// Not started because the limit of calls in flight was reached.
   NotStarted,
-  /// Whole, but the answer to another call.
+  /// A complete answer that belongs to another call.
   Wrong,
 };
 inline constexpr std::size_t kCallEnds = 6;
@@ -34,12 +34,12 @@
   Duration took_{ 0 };
 };
 
-/// What upstreams' records prove about the outcomes told.
+/// Contradictions between upstreams' records and the reported outcomes.
 struct RecordCheck
 {
-  /// Calls that must not run twice and did.
+  /// Non-idempotent calls that were run more than once.
   std::uint64_t runTwice_ = 0;
-  /// Calls refused as not run that were run.
+  /// Calls that were reported as not run but were run.
   std::uint64_t refusedRun_ = 0;
 };
 
@@ -48,14 +48,15 @@
 {
   LoadSpec spec_;
   std::vector<PlannedCall> calls_;
-  /// One for each planned call.
+  /// One per planned call, in the same order.
   std::vector<CallOutcome> outcomes_;
   Duration took_{ 0 };
   std::optional<RecordCheck> check_;
 };
 
-/// Reads the `*.jsonl` records of plain stand-ins in a folder and compares.
-/// @param aBodyOf gives the body that names a call
+/// Compares the outcomes with the `*.jsonl` records of plain stand-ins in a
+/// folder.
+/// @param aBodyOf returns the body that identifies a call
 [[nodiscard]] RecordCheck
 CheckRecords(const LoadOutcome& aLoad,
              const std::string& aFolder,
--- a/src/programs/load/main.cpp
+++ b/src/programs/load/main.cpp
@@ -1,4 +1,4 @@
-/// Load and experiments.
+/// `marjoram-load`: generates HTTP load and runs benchmarks.
 
 #include "marjoramtally/runtime/program.hpp"
 #include "programs/load/experiments.hpp"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// One experiment and what runs it.
+/// One experiment and the function that runs it.
 struct Experiment
 {
   std::string_view name_;
@@ -18,7 +18,7 @@
 
 constexpr auto kExperiments = std::to_array<Experiment>({
   { "http",
-    "http --url URL ...: bounded load on loopback; http --help",
+    "http --url URL ...: bounded HTTP load on loopback; see http --help",
     marjoramtally::RunHttpLoad },
   { "decide",
     "decide [--scenario NAME] [--json]: policies against fake engines",
@@ -27,11 +27,11 @@
     "ledger: time and memory of a step's ledger, time of the journal",
     marjoramtally::RunLedgerBench },
   { "rollout",
-    "rollout [--samplers N] [--store-rate N]: new weights on all samplers",
+    "rollout [--samplers N] [--store-rate N]: rollout of new weights",
     marjoramtally::RunRolloutBench },
   { "membership",
     "membership [--members N] [--zones N] [--trials N] [--seed N]: membership "
-    "on a paused clock",
+    "on a simulated clock",
     marjoramtally::RunMembershipBench },
   { "allocation",
     "allocation: engines shared among live callers and trainers",
--- a/src/programs/load/membership_bench.cpp
+++ b/src/programs/load/membership_bench.cpp
@@ -1,5 +1,5 @@
-/// Measures the membership core at the size to design for, on a paused
-/// clock.
+/// `marjoram-load membership`: measures the membership core at the design size
+/// on a simulated clock.
 
 #include "marjoramtally/runtime/program.hpp"
 #include "programs/load/direct_gossip.hpp"
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kMaxMembers = 4000;
 
-/// What the command line gave.
+/// Options of the command line.
 struct BenchOptions
 {
   std::size_t members_ = 440;
@@ -60,7 +60,7 @@
             << " p99=" << aValue.p99_ << " max=" << aValue.max_ << std::endl;
 }
 
-/// All members of a run, and what is asked of them.
+/// The members of a run and the measurements taken on them.
 class GossipCluster
 {
 public:
@@ -81,7 +81,8 @@
     gossip_.Run(minutes(1));
   }
 
-  /// Whether all know all and the tables are the same.
+  /// @returns the number of members that know all others and whose table equals
+  /// that of the first member
   [[nodiscard]] std::size_t Agreeing()
   {
     std::size_t agreeing = 0;
@@ -112,7 +113,7 @@
   {
     return random_.Below(gossip_.Count());
   }
-  /// Bytes sent and received by each member since the last call.
+  /// @returns the bytes that each member sent and received since the last call
   std::vector<double> TakeBytes();
   void PrintBytes(const std::string& aName, Duration aTime);
   std::uint64_t Sum(std::uint64_t MembershipCounters::*aMember);
@@ -159,7 +160,8 @@
   return sum;
 }
 
-/// Stops members one by one: when the first, and when all, believe it dead.
+/// Stops one member at a time and measures how long the first and each other
+/// member take to mark it dead.
 void
 GossipCluster::MeasureFailures()
 {
@@ -228,7 +230,8 @@
   PrintBytes(aName, aTime);
 }
 
-/// Ten minutes with the events of an ordinary day at their rate.
+/// Simulates ten minutes with failures, restarts and configuration changes at
+/// the rate of an ordinary day.
 void
 GossipCluster::MeasureOrdinaryDay()
 {
@@ -256,7 +259,8 @@
             << " deaths=" << Sum(&MembershipCounters::deaths_) << std::endl;
 }
 
-/// Cuts a zone off, then lets it rejoin, and takes the worst minute.
+/// Partitions a zone, lets it rejoin, then stops and restarts it; measures the
+/// traffic of the first minute after each event.
 void
 GossipCluster::MeasureZoneFailures()
 {
@@ -290,7 +294,8 @@
             << std::endl;
 }
 
-/// Loses one message in a hundred and pauses members for a few seconds.
+/// Counts false suspicions and deaths while 1% of messages are lost, and while
+/// members also pause for 4 s.
 void
 GossipCluster::MeasureFalseSuspicions()
 {
@@ -318,7 +323,8 @@
   gossip_.lostPerMille_ = 0;
 }
 
-/// Processor time of ticks, encoding, decoding and handling, by message.
+/// Measures the processor time per message of ticks, encoding, decoding and
+/// handling.
 void
 GossipCluster::MeasureCost()
 {
@@ -354,7 +360,7 @@
   auto add = described.add_options();
   add("members", po::value(&options.members_), "daemons, 24 to 4000");
   add("zones", po::value(&options.zones_), "availability zones");
-  add("trials", po::value(&options.trials_), "trials of each kind");
+  add("trials", po::value(&options.trials_), "trials per measurement");
   add("seed", po::value(&options.seed_), "seed of the run");
   try {
     po::variables_map values;
@@ -367,8 +373,9 @@
   if (options.members_ < 24 || options.members_ > kMaxMembers ||
       options.zones_ == 0 || options.zones_ > options.members_ / 2 ||
       options.trials_ == 0) {
-    std::cerr << "marjoram-load: --members 24 to 4000, --zones up to half of "
-                 "them, --trials at least 1\n";
+    std::cerr
+      << "marjoram-load: --members must be from 24 to 4000, --zones from 1 "
+         "to half the members, --trials at least 1\n";
     return kExitBadInput;
   }
   const std::size_t heapBefore = mallinfo2().uordblks;
--- a/src/programs/load/offered_load.cpp
+++ b/src/programs/load/offered_load.cpp
@@ -8,7 +8,7 @@
 constexpr double kLiveShare = 0.75;
 constexpr std::uint64_t kTrainers = 3;
 constexpr double kBurstFactor = 2;
-/// Generating a step takes its share of the engines about this long.
+/// Approximate time to generate one step on a trainer's share of the engines.
 constexpr double kStepSeconds = 20;
 
 } // namespace
--- a/src/programs/load/offered_load.hpp
+++ b/src/programs/load/offered_load.hpp
@@ -1,15 +1,15 @@
-/// The load that the routing scenarios offer.
+/// The load of the routing scenarios.
 #pragma once
 
 #include "programs/load/fleet.hpp"
 
 namespace marjoramtally::bench {
 
-/// Every third engine of the mixed fleet takes this many times longer.
+/// Factor on the step times of every third engine in a mixed fleet.
 inline constexpr double kOlderSlowdown = 1.5;
 
-/// Adds bursty live callers and three trainers that together ask for a share
-/// of the engines' measured peak.
+/// Adds bursty live callers and three trainers.
+/// @param aLoad total load relative to the engines' measured peak
 void
 OfferMixedLoad(Fleet& aFleet, const FleetSettings& aSettings, double aLoad);
 
--- a/src/programs/load/policies.cpp
+++ b/src/programs/load/policies.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Requests that one entry keeps in flight at one engine.
+/// Maximum number of requests that one entry has in flight on one engine.
 constexpr std::uint64_t kInFlightLimit = 64;
 
-/// Keeps what all baselines count: own requests in flight.
+/// Base of the baselines: counts the entry's own requests in flight and keeps
+/// the latest reports.
 class CountingPolicy : public RoutePolicy
 {
 public:
@@ -63,7 +64,7 @@
 protected:
   virtual std::size_t Choose(const std::vector<std::size_t>& aOpen) = 0;
 
-  /// @returns the open engine of the least cost; ties at random
+  /// @returns the open engine with the lowest cost; ties are broken at random
   template<typename Cost>
   std::size_t LeastCost(const std::vector<std::size_t>& aOpen, Cost aCost)
   {
@@ -131,7 +132,7 @@
   return std::make_unique<Policy>(aEngines, aSeed);
 }
 
-/// Sets by class.
+/// Queues requests by class, in order of arrival.
 class ClassQueue final : public QueuePolicy
 {
 public:
@@ -163,7 +164,7 @@
   }
 
 private:
-  /// Tickets grow, so their order is that of arrival.
+  /// Ticket ids increase, so their order is the order of arrival.
   std::array<std::set<TicketId>, kRequestClasses> queues_;
   std::map<TicketId, std::size_t> classes_;
 };
--- a/src/programs/load/policies.hpp
+++ b/src/programs/load/policies.hpp
@@ -1,5 +1,4 @@
-/// Strategies that the decision bench compares: which engine, and which
-/// request first.
+/// Route and queue policies that the decision bench compares.
 #pragma once
 
 #include "marjoramtally/process.hpp"
@@ -9,20 +8,20 @@
 
 namespace marjoramtally::bench {
 
-/// Names an engine by its place in the fleet.
+/// Index of an engine in the fleet.
 using EngineIndex = Strong<std::size_t, struct EngineIndexTag>;
 
-/// The end of one attempt, as its entry sees it.
+/// The end of one attempt as seen by its entry.
 struct AttemptView
 {
   EngineIndex engine_;
   TimePoint sentAt_;
-  /// Set if the entry itself gave it up.
+  /// Whether the entry itself cancelled the attempt.
   bool cancelled_ = false;
   EngineResult result_;
 };
 
-/// Chooses engines for one entry.
+/// Chooses an engine for each request of one entry.
 class RoutePolicy
 {
 public:
@@ -42,13 +41,13 @@
                       TimePoint /*aNow*/)
   {
   }
-  /// A report arrived; it may be old.
+  /// Called when a report arrives, which may be old.
   virtual void OnReport(EngineIndex /*aEngine*/,
                         const EngineReport& /*aReport*/,
                         TimePoint /*aNow*/)
   {
   }
-  /// A cache event arrived; it may be old, and others may be lost.
+  /// Called when a cache event arrives, which may be old; events may be lost.
   virtual void OnCacheEvent(EngineIndex /*aEngine*/,
                             const CacheEvent& /*aEvent*/,
                             TimePoint /*aNow*/)
@@ -56,7 +55,7 @@
   }
 };
 
-/// A policy by name.
+/// A named policy and its factory.
 struct RoutePolicySpec
 {
   std::string_view name_;
@@ -64,19 +63,20 @@
                                         std::uint64_t aSeed);
 };
 
-/// The baselines, which stay beside our own policy.
+/// Simple policies that the library's router is compared with.
 [[nodiscard]] const std::vector<RoutePolicySpec>&
 BaselinePolicies();
 
-/// The library's router.
+/// The library's router with default tuning.
 [[nodiscard]] const RoutePolicySpec&
 LibraryPolicy();
 
-/// The library's router with one part changed.
+/// The library's router with one part of its tuning changed.
 [[nodiscard]] const std::vector<RoutePolicySpec>&
 LibraryVariants();
 
-/// The library's router with other numbers of candidates and other blur.
+/// The library's router with other numbers of candidates, and with and without
+/// cost jitter and correction of reports.
 [[nodiscard]] const std::vector<RoutePolicySpec>&
 HerdingVariants();
 
@@ -90,14 +90,16 @@
                                      TimePoint aNow) = 0;
   /// @returns the request to send next, if any; it stays in the queue
   [[nodiscard]] virtual std::optional<TicketId> Next(TimePoint aNow) = 0;
-  /// Takes a request out: it was sent or given up.
+  /// Removes a request.
+  /// @param aSent whether it was sent; otherwise it was abandoned
   virtual void Remove(TicketId aTicket, bool aSent, TimePoint aNow) = 0;
-  /// Takes out requests that can no longer be in time; they are refused.
+  /// Removes the requests that can no longer meet their deadline, which are
+  /// then refused.
   [[nodiscard]] virtual std::vector<TicketId> TakeInfeasible(TimePoint /*aNow*/)
   {
     return {};
   }
-  /// A request that was sent has ended.
+  /// Called when a request that was sent has ended.
   virtual void OnDone(TicketId /*aTicket*/,
                       const RequestSpec& /*aRequest*/,
                       const EngineResult& /*aResult*/,
@@ -106,7 +108,7 @@
   }
 };
 
-/// Live callers first, each class in the order of arrival.
+/// Serves live callers first, and each class in order of arrival.
 [[nodiscard]] std::unique_ptr<QueuePolicy>
 MakeClassQueue();
 
--- a/src/programs/load/queue_variants.cpp
+++ b/src/programs/load/queue_variants.cpp
@@ -8,7 +8,7 @@
 
 const ServiceId kBenchService{ "bench" };
 
-/// Our admission as a queue policy.
+/// Adapts the library's `Admission` to a queue policy.
 class AdmissionQueue final : public QueuePolicy
 {
 public:
@@ -67,6 +67,8 @@
   Admission admission_;
 };
 
+/// Picks the engine with the fewest own requests in flight, up to the slot
+/// limit.
 class SlotPolicy final : public RoutePolicy
 {
 public:
--- a/src/programs/load/rollout_bench.cpp
+++ b/src/programs/load/rollout_bench.cpp
@@ -1,5 +1,6 @@
-/// `marjoram-load rollout`: new weights on all samplers, at several wave
-/// sizes and permit schemes, against one at a time and all at once.
+/// `marjoram-load rollout`: rolls out new weights to all samplers with several
+/// wave sizes and permit schemes; the baselines are one sampler at a time and
+/// all at once.
 
 #include "marjoramtally/runtime/program.hpp"
 #include "programs/load/experiments.hpp"
@@ -120,7 +121,9 @@
   auto add = described.add_options();
   add("help", "print this text");
   add("samplers", po::value(&base.samplers_), "samplers, 1 to 10000");
-  add("store-rate", po::value(&base.storeRate_), "weight store's loads/s");
+  add("store-rate",
+      po::value(&base.storeRate_),
+      "loads per second of the weight store");
   add("failures", po::value(&base.failedSwaps_), "share of swaps that fail");
   add("seed", po::value(&base.seed_), "seed");
   po::variables_map values;
@@ -139,8 +142,9 @@
   if (base.samplers_ == 0 || base.samplers_ > kMaxSamplers ||
       base.storeRate_ < 1.0 || base.failedSwaps_ < 0.0 ||
       base.failedSwaps_ > 1.0) {
-    std::cerr << "marjoram-load: --samplers 1 to 10000, --store-rate from 1, "
-                 "--failures 0 to 1\n";
+    std::cerr
+      << "marjoram-load: --samplers must be from 1 to 10000, --store-rate at "
+         "least 1, --failures from 0 to 1\n";
     return kExitBadInput;
   }
   PrintHeader();
--- a/src/programs/load/rollout_fakes.cpp
+++ b/src/programs/load/rollout_fakes.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kSecond = std::chrono::seconds(1);
-/// One way to the platform's store and back.
+/// Round trip to the platform's store.
 constexpr Duration kStoreRoundTrip = std::chrono::milliseconds(4);
-/// The store takes 300 writes a second.
+/// Time per write; the store sustains 300 writes per second.
 constexpr Duration kWriteTime{ 3333 };
 constexpr std::uint64_t kMaxDoublings = 7;
 
--- a/src/programs/load/rollout_fakes.hpp
+++ b/src/programs/load/rollout_fakes.hpp
@@ -1,12 +1,12 @@
-/// Fakes of the rollout bench: weight store, permit record, sampler.
+/// Fakes for the rollout bench: weight store, permit record and sampler.
 #pragma once
 
 #include "programs/load/rollout_fleet.hpp"
 
 namespace marjoramtally::bench {
 
-/// Gives weights within its rate, counted over the last second, and refuses
-/// the rest.
+/// Serves loads up to its rate, counted over the last second, and refuses
+/// others.
 class FakeWeightStore
 {
 public:
@@ -26,8 +26,8 @@
   std::deque<TimePoint> recent_;
 };
 
-/// A record in the platform's store that says when the next load may start;
-/// owners reserve turns by compare-and-swap. Writes are served one after
+/// A record in the platform's store with the time at which the next load may
+/// start. Owners reserve turns by compare-and-swap; writes are served one after
 /// another at the store's rate.
 class PermitRecord
 {
@@ -37,8 +37,8 @@
     , turnInterval_(Duration(static_cast<Duration::rep>(1e6 / aLoadsPerSecond)))
   {
   }
-  /// Reads the record, then reserves the next turn; on a conflict again
-  /// after a random wait.
+  /// Reads the record and reserves the next turn; retries after a random delay
+  /// on a conflict.
   void Reserve(std::function<void(TimePoint)> aDone,
                std::uint64_t aAttempt = 0);
 
@@ -58,7 +58,8 @@
   TimePoint writerFree_;
 };
 
-/// Permits of one owner by that record: one turn is reserved at a time.
+/// Permits of one owner that come from a `PermitRecord`; one turn is reserved
+/// at a time.
 class RecordPermits final : public LoadPermits
 {
 public:
@@ -76,7 +77,7 @@
   std::optional<TimePoint> turn_;
 };
 
-/// Loads at once, as often as asked.
+/// Grants every load at once.
 class UnpacedPermits final : public LoadPermits
 {
 public:
@@ -85,7 +86,7 @@
   [[nodiscard]] bool Take(TimePoint, bool) noexcept override { return true; }
 };
 
-/// One sampler as it is.
+/// State of one simulated sampler.
 struct FakeSampler
 {
   UpstreamState state_;
--- a/src/programs/load/rollout_fleet.cpp
+++ b/src/programs/load/rollout_fleet.cpp
@@ -12,11 +12,12 @@
 constexpr WeightVersion kOldVersion{ 1 };
 constexpr WeightVersion kNewVersion{ 2 };
 constexpr FencingNumber kTerm{ 5 };
-/// Before the new version is announced, so that all owners are settled.
+/// Time before the new version is announced, in which all owners read the
+/// state of their samplers.
 constexpr Duration kWarmUp = std::chrono::seconds(5);
-/// Owners hear of a new version within this time.
+/// Maximum delay until an owner receives the announcement of a version.
 constexpr Duration kAnnouncementLag = std::chrono::seconds(1);
-/// Way of a call to a sampler and back.
+/// Round trip of a call to a sampler.
 constexpr Duration kCallRoundTrip = std::chrono::milliseconds(2);
 constexpr Duration kLease = std::chrono::seconds(10);
 
@@ -191,7 +192,7 @@
     outcome_.minAnswering_ = std::min(outcome_.minAnswering_, answering_);
   }
 
-  /// A failed swap leaves the old version and loses what was loaded.
+  /// A failed swap keeps the old version and discards the loaded one.
   void Switch(Rollout& aOwner, const SendOrder& aOrder)
   {
     const UpstreamId& id = aOrder.upstream_;
@@ -212,7 +213,7 @@
     });
   }
 
-  /// @returns the time give or take a fifth
+  /// @returns the time varied at random by up to 20%
   Duration Jitter(Duration aTime)
   {
     constexpr double kMinFactor = 0.8;
--- a/src/programs/load/router_policy.cpp
+++ b/src/programs/load/router_policy.cpp
@@ -1,4 +1,4 @@
-/// The library's router as a strategy of the decision bench.
+/// The library's router as a route policy of the decision bench.
 
 #include "programs/load/policies.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Requests that one entry keeps in flight at one engine.
+/// Maximum number of requests that one entry has in flight on one engine.
 constexpr std::uint64_t kInFlightLimit = 64;
 
 UpstreamId
@@ -98,14 +98,14 @@
   Router router_;
 };
 
-/// Ours with all parts.
+/// Makes the router with default tuning.
 std::unique_ptr<RoutePolicy>
 MakeDefault(std::size_t aEngines, std::uint64_t aSeed)
 {
   return std::make_unique<RouterPolicy>(aEngines, aSeed, RouterTuning{});
 }
 
-/// Ours without one part, or with another number of candidates.
+/// Makes the router with one tuning member changed.
 template<auto Member, auto Value>
 std::unique_ptr<RoutePolicy>
 MakeVariant(std::size_t aEngines, std::uint64_t aSeed)
@@ -115,7 +115,8 @@
   return std::make_unique<RouterPolicy>(aEngines, aSeed, tuning);
 }
 
-/// Ours with a number of candidates, with or without blur and correction.
+/// Makes the router with a number of candidates, with or without cost jitter
+/// and correction of reports.
 template<std::size_t Choices, bool Blur, bool Correct>
 std::unique_ptr<RoutePolicy>
 MakeHerding(std::size_t aEngines, std::uint64_t aSeed)
@@ -127,7 +128,7 @@
   return std::make_unique<RouterPolicy>(aEngines, aSeed, tuning);
 }
 
-/// More than any fleet of the bench has.
+/// Candidate count that includes every engine of any fleet of the bench.
 constexpr std::size_t kAll = 4096;
 
 } // namespace
--- a/src/programs/load/workload.cpp
+++ b/src/programs/load/workload.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-/// Prefixes of trainers' prompts stand apart from those of live callers.
+/// Trainers' prefixes start at or above this number, so that they differ from
+/// those of live callers.
 constexpr std::uint64_t kTrainerPrefixes = 1'000'000;
 
 double
--- a/src/programs/load/workload.hpp
+++ b/src/programs/load/workload.hpp
@@ -1,5 +1,5 @@
-/// Work offered in the decision bench: live callers that do not wait for
-/// answers, and trainers that open steps of groups. Seeded.
+/// Simulated callers of the decision bench: open-loop live callers, and
+/// trainers that open steps of sample groups. All are seeded.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -9,31 +9,32 @@
 
 namespace marjoramtally::bench {
 
-/// What requests look like.
+/// Sizes of a kind of request.
 struct RequestShape
 {
   std::uint64_t promptTokens_ = 400;
   std::uint64_t prefixTokens_ = 320;
-  /// Prefixes that prompts share; a few are asked for most.
+  /// Number of shared prefixes; a few of them are used most.
   std::uint64_t prefixes_ = 48;
-  /// Mean of an exponential distribution.
+  /// Mean of the exponentially distributed output length.
   double meanOutputTokens_ = 30;
   std::uint64_t maxOutputTokens_ = 1024;
 };
 
-/// Live callers.
+/// Configuration of live callers.
 struct LiveSettings
 {
   double perSecond_ = 0;
   Duration deadline_ = std::chrono::seconds(2);
-  /// Rate within a burst over the mean rate; 1 is no bursts. Bursts take a
-  /// fifth of each period.
+  /// Rate within a burst divided by the mean rate; 1 for no bursts. Bursts take
+  /// the first fifth of each period.
   double burstFactor_ = 1;
   Duration burstPeriod_ = std::chrono::seconds(10);
   RequestShape shape_{ 400, 320, 48, 30, 48 };
 };
 
-/// One trainer: opens the next step when it starts to train on the last.
+/// Configuration of a trainer, which opens the next step when it starts to
+/// train on the last one.
 struct TrainerSettings
 {
   TrainerId id_;
@@ -44,7 +45,7 @@
   RequestShape shape_{ 200, 180, 0, 150, 512 };
 };
 
-/// One request of the bench; `spec_` is what the decision libraries see.
+/// One request: `spec_` for the decision libraries, `job_` for the engine.
 struct BenchRequest
 {
   RequestSpec spec_;
@@ -66,12 +67,13 @@
   {
   }
 
-  /// Routing is told the mean output length, not the real one.
+  /// Makes a request whose `spec_` has the mean output length, not the real
+  /// one.
   [[nodiscard]] BenchRequest Make(const RequestShape& aShape,
                                   RequestClass aClass,
                                   std::uint64_t aPrefix,
                                   TimePoint aNow);
-  /// @returns a prefix of the shape; low numbers are asked for most
+  /// @returns a prefix of the shape; low numbers are the most frequent
   [[nodiscard]] std::uint64_t DrawPrefix(const RequestShape& aShape);
   [[nodiscard]] Random& Rng() noexcept { return random_; }
 
@@ -80,7 +82,7 @@
   std::uint64_t lastJob_ = 0;
 };
 
-/// Poisson arrivals that do not wait for answers.
+/// Open-loop callers with Poisson arrivals.
 class LiveCallers
 {
 public:
@@ -88,11 +90,10 @@
               RequestMaker& aMaker,
               const LiveSettings& aSettings,
               BenchSink aSink);
-  /// Starts to send.
   void Start();
 
 private:
-  /// @returns arrivals per second now
+  /// @returns the current number of arrivals per second
   [[nodiscard]] double Rate() const;
 
   EventLoop& loop_;
@@ -101,7 +102,7 @@
   BenchSink sink_;
 };
 
-/// A trainer that keeps one step ahead of the one it trains on.
+/// A trainer that generates one step ahead of the one it trains on.
 class FakeTrainer
 {
 public:
@@ -111,10 +112,10 @@
               BenchSink aSink);
 
   void Start();
-  /// Tells that one of its requests is whole; others are sent again by the
-  /// trainer's owner and never end here.
+  /// Called when one of its requests completes. Requests that end otherwise
+  /// are not reported here.
   void OnComplete(GenerationId aJob);
-  /// @returns time without a whole step to train on, after the first step
+  /// @returns the time without a complete step to train on, after the first one
   [[nodiscard]] Duration Idle() const noexcept { return idle_; }
   [[nodiscard]] const std::vector<double>& GroupSeconds() const noexcept
   {
