--- a/include/marjoramtally/runtime/http_client.hpp
+++ b/include/marjoramtally/runtime/http_client.hpp
@@ -34,7 +34,7 @@
   /// The call ends as timed out when no byte of its answer came for so long;
   /// 0: only `timeout_` ends it. A large answer over a busy link is slow, and
   /// asking again would make the link busier.
-  Duration silence_{ 0 };
+  Duration idleTimeout_{ 0 };
   /// Time limit for the connection alone.
   Duration connectTimeout_ = std::chrono::seconds(2);
   /// Use a connection of its own, so that the library never sends twice.
--- a/include/marjoramtally/runtime/log_story.hpp
+++ b/include/marjoramtally/runtime/log_explanation.hpp
@@ -33,23 +33,23 @@
 ParseLogLine(std::string_view aText);
 
 /// What the logs tell of one id.
-struct LogStory
+struct LogExplanation
 {
   /// Lines that name the id, in order of time.
-  std::vector<LogLine> own_;
+  std::vector<LogLine> ownLines_;
   /// Lines of the same processes and upstreams around that time that bear on
   /// it.
-  std::vector<LogLine> around_;
+  std::vector<LogLine> relatedLines_;
   /// One sentence each: how it ended, and what led there.
   std::vector<std::string> findings_;
   /// Lines read, and those that were no line of a daemon.
-  std::uint64_t lines_ = 0;
-  std::uint64_t unread_ = 0;
+  std::uint64_t linesRead_ = 0;
+  std::uint64_t unparsed_ = 0;
 };
 
 /// @param aLines all lines of the logs, of any processes, in any order
 /// @param aId id of a caller's attempt, of a job or of an item
-[[nodiscard]] LogStory
-TellStory(const std::vector<std::string>& aLines, std::string_view aId);
+[[nodiscard]] LogExplanation
+ExplainFromLogs(const std::vector<std::string>& aLines, std::string_view aId);
 
 } // namespace marjoramtally
--- a/include/marjoramtally/runtime/log_limit.hpp
+++ b/include/marjoramtally/runtime/log_limit.hpp
@@ -19,16 +19,16 @@
   /// instances' links carry in that time.
   static constexpr double kLinesPerSecond = 200;
   /// Lines at once: a restart or a failover of a large job.
-  static constexpr double kBurst = 1000;
+  static constexpr double kBurstLines = 1000;
 
   /// @returns whether a line may be written now
   [[nodiscard]] bool Admit(TimePoint aNow) noexcept
   {
     const double seconds = std::chrono::duration<double>(aNow - last_).count();
     last_ = aNow;
-    tokens_ = std::min(kBurst, tokens_ + seconds * kLinesPerSecond);
+    tokens_ = std::min(kBurstLines, tokens_ + seconds * kLinesPerSecond);
     if (tokens_ < 1.0) {
-      LeaveOut();
+      CountDropped();
       return false;
     }
     tokens_ -= 1.0;
@@ -36,25 +36,25 @@
   }
 
   /// A line was not written.
-  void LeaveOut() noexcept { ++leftOut_; }
+  void CountDropped() noexcept { ++dropped_; }
 
   /// @returns how many lines were left out since this was last told; 0 while
   /// still more are
-  [[nodiscard]] std::uint64_t TakeLeftOut(TimePoint aNow) noexcept
+  [[nodiscard]] std::uint64_t TakeDroppedCount(TimePoint aNow) noexcept
   {
     const double seconds = std::chrono::duration<double>(aNow - last_).count();
-    if (leftOut_ == 0 || tokens_ + seconds * kLinesPerSecond < 2.0) {
+    if (dropped_ == 0 || tokens_ + seconds * kLinesPerSecond < 2.0) {
       return 0;
     }
-    const std::uint64_t count = leftOut_;
-    leftOut_ = 0;
+    const std::uint64_t count = dropped_;
+    dropped_ = 0;
     return count;
   }
 
 private:
-  double tokens_ = kBurst;
+  double tokens_ = kBurstLines;
   TimePoint last_;
-  std::uint64_t leftOut_ = 0;
+  std::uint64_t dropped_ = 0;
 };
 
 /// Lines that the reader has not taken yet.
@@ -62,36 +62,39 @@
 {
 public:
   /// Most bytes held.
-  static constexpr std::size_t kMostBytes = 256U * 1024U;
+  static constexpr std::size_t kMaxBytes = 256U * 1024U;
 
   /// @returns whether there was room; else nothing is held of the line
   [[nodiscard]] bool Put(std::string_view aLine)
   {
-    if (bytes_.size() - taken_ + aLine.size() > kMostBytes) {
+    if (bytes_.size() - written_ + aLine.size() > kMaxBytes) {
       return false;
     }
     bytes_ += aLine;
     return true;
   }
-  [[nodiscard]] bool empty() const noexcept { return taken_ == bytes_.size(); }
+  [[nodiscard]] bool empty() const noexcept
+  {
+    return written_ == bytes_.size();
+  }
   /// @returns what is to be written next
   [[nodiscard]] std::string_view Front() const noexcept
   {
-    return std::string_view(bytes_).substr(taken_);
+    return std::string_view(bytes_).substr(written_);
   }
   /// The first bytes were written.
-  void Drop(std::size_t aBytes)
+  void Consume(std::size_t aBytes)
   {
-    taken_ += std::min(aBytes, bytes_.size() - taken_);
+    written_ += std::min(aBytes, bytes_.size() - written_);
     if (empty()) {
       bytes_.clear();
-      taken_ = 0;
+      written_ = 0;
     }
   }
 
 private:
   std::string bytes_;
-  std::size_t taken_ = 0;
+  std::size_t written_ = 0;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/runtime/loop_timers.hpp
+++ b/include/marjoramtally/runtime/loop_timers.hpp
@@ -49,11 +49,11 @@
 
 private:
   /// Ids grow, so that timers due at once run in the order they were set.
-  using Place = std::pair<TimePoint, LoopTimerId>;
+  using TimerKey = std::pair<TimePoint, LoopTimerId>;
 
   ManualClock& clock_;
   LoopTimerId last_ = 0;
-  std::map<Place, std::function<void()>> tasks_;
+  std::map<TimerKey, std::function<void()>> tasks_;
 };
 
 } // namespace marjoramtally
--- a/include/marjoramtally/runtime/rpc_mac.hpp
+++ b/include/marjoramtally/runtime/rpc_mac.hpp
@@ -77,7 +77,7 @@
     std::uint64_t nonce_;
   };
 
-  void Forget(std::uint64_t aNowMillis);
+  void RemoveOldNonces(std::uint64_t aNowMillis);
   [[nodiscard]] bool Matches(const std::string& aText,
                              std::string_view aMac) const;
 
--- a/include/marjoramtally/runtime/send_window.hpp
+++ b/include/marjoramtally/runtime/send_window.hpp
@@ -12,32 +12,32 @@
 public:
   /// With so many bytes not yet taken, no more are received: some thousand
   /// events, and little beside the memory of one process.
-  static constexpr std::size_t kMostWaiting = 256U * 1024U;
+  static constexpr std::size_t kMaxPendingBytes = 256U * 1024U;
   /// Receiving goes on below this; the gap keeps from stopping and going on
   /// at each event.
-  static constexpr std::size_t kResumeBelow = kMostWaiting / 2;
+  static constexpr std::size_t kResumeBelowBytes = kMaxPendingBytes / 2;
 
-  void OnSent(std::size_t aBytes) noexcept { waiting_ += aBytes; }
-  void OnTaken(std::size_t aBytes) noexcept { waiting_ -= aBytes; }
+  void OnSent(std::size_t aBytes) noexcept { pendingBytes_ += aBytes; }
+  void OnTaken(std::size_t aBytes) noexcept { pendingBytes_ -= aBytes; }
   /// @returns whether more may be received now; if not, `TakeResume` tells
   /// when
   [[nodiscard]] bool MayReceive() noexcept
   {
-    paused_ = waiting_ >= kMostWaiting;
+    paused_ = pendingBytes_ >= kMaxPendingBytes;
     return !paused_;
   }
   /// @returns true once after a pause, when there is room again
   [[nodiscard]] bool TakeResume() noexcept
   {
-    const bool resume = paused_ && waiting_ < kResumeBelow;
+    const bool resume = paused_ && pendingBytes_ < kResumeBelowBytes;
     paused_ = paused_ && !resume;
     return resume;
   }
   /// A new sender has not been held back.
-  void ForgetPause() noexcept { paused_ = false; }
+  void ClearPause() noexcept { paused_ = false; }
 
 private:
-  std::size_t waiting_ = 0;
+  std::size_t pendingBytes_ = 0;
   bool paused_ = false;
 };
 
--- a/include/marjoramtally/runtime/watch_history.hpp
+++ b/include/marjoramtally/runtime/watch_history.hpp
@@ -15,24 +15,25 @@
 {
 public:
   /// Most changes kept.
-  static constexpr std::size_t kMost = 2048;
+  static constexpr std::size_t kMaxChanges = 2048;
   /// Most bytes of keys and values kept. What a relay sends at once to 72 peers
   /// is then below 38 MB; a larger change is read by each process from the
   /// store, whose link is the faster one.
-  static constexpr std::size_t kMostBytes = 512UL * 1024UL;
+  static constexpr std::size_t kMaxBytes = 512UL * 1024UL;
   /// Largest change kept: 72 peers get it at once, which is 4.7 MB or 0.6 s of
   /// a link of 60 Mbit/s; a relay that needs more than a second counts as
   /// silent.
-  static constexpr std::size_t kMostChangeBytes = 64UL * 1024UL;
+  static constexpr std::size_t kMaxChangeBytes = 64UL * 1024UL;
   /// An answer of the store vouches for the changes this long. A watch is
   /// renewed every 1.4 s, and a change has to be known after two seconds.
-  static constexpr Duration kConfirmedFor = std::chrono::milliseconds(1700);
+  static constexpr Duration kConfirmationLifetime =
+    std::chrono::milliseconds(1700);
 
   /// A watch was opened that tells all changes after this revision.
   void Start(std::uint64_t aAfter, TimePoint aNow);
   void Append(const StoreWatchBatch& aBatch, TimePoint aNow);
   /// The watch ended or was interrupted: nothing is vouched for.
-  void Lose() { known_.reset(); }
+  void Invalidate() { known_.reset(); }
 
   /// @returns whether what is held is whole as of a moment ago
   [[nodiscard]] bool Confirmed(TimePoint aNow) const noexcept;
--- a/src/daemon/relayed_store.cpp
+++ b/src/daemon/relayed_store.cpp
@@ -210,7 +210,7 @@
     if (own == nullptr) {
       return;
     }
-    own->history_.Lose();
+    own->history_.Invalidate();
     answers_.NotifyChange(own->prefix_);
     own->history_.Start(own->after_, {});
     if (!relays_(own->prefix_).empty()) {
@@ -227,7 +227,7 @@
     return;
   }
   if (aBatch.ended_) {
-    own->history_.Lose();
+    own->history_.Invalidate();
     answers_.FailAll(own->prefix_);
     Deliver(aId, aBatch);
     return;
@@ -245,7 +245,7 @@
   if (own != nullptr && relayed && own->direct_ == direct) {
     store_.StopWatch(direct);
     own->direct_ = 0;
-    own->history_.Lose();
+    own->history_.Invalidate();
     Open(aId);
   }
 }
--- a/src/programs/ctl/explain_command.cpp
+++ b/src/programs/ctl/explain_command.cpp
@@ -1,6 +1,6 @@
 #include "programs/ctl/commands.hpp"
 
-#include "marjoramtally/runtime/log_story.hpp"
+#include "marjoramtally/runtime/log_explanation.hpp"
 #include "marjoramtally/runtime/program.hpp"
 
 #include <iostream>
@@ -51,15 +51,16 @@
   while (std::getline(std::cin, line)) {
     lines.push_back(std::move(line));
   }
-  const LogStory story = TellStory(lines, aInput.arguments_.front());
-  PrintLines("Its own lines:", story.own_);
-  PrintLines("Lines around them that bear on it:", story.around_);
-  std::cout << "Findings (" << story.lines_ << " lines read, " << story.unread_
-            << " of them no event):\n";
-  for (const std::string& finding : story.findings_) {
+  const LogExplanation explanation =
+    ExplainFromLogs(lines, aInput.arguments_.front());
+  PrintLines("Its own lines:", explanation.ownLines_);
+  PrintLines("Lines around them that bear on it:", explanation.relatedLines_);
+  std::cout << "Findings (" << explanation.linesRead_ << " lines read, "
+            << explanation.unparsed_ << " of them no event):\n";
+  for (const std::string& finding : explanation.findings_) {
     std::cout << "  " << finding << '\n';
   }
-  return story.own_.empty() ? kExitFailed : kExitOk;
+  return explanation.ownLines_.empty() ? kExitFailed : kExitOk;
 }
 
 } // namespace marjoramtally
--- a/src/programs/entryd/stream_relay.cpp
+++ b/src/programs/entryd/stream_relay.cpp
@@ -48,7 +48,7 @@
   aCall.mayReceive_ = [self] { return self->MayReceive(); };
   const std::lock_guard lock(mutex_);
   call_ = 0;
-  window_.ForgetPause();
+  window_.ClearPause();
 }
 
 void
--- a/src/programs/gatewayd/forwarder_streams.cpp
+++ b/src/programs/gatewayd/forwarder_streams.cpp
@@ -32,7 +32,7 @@
 {
   Stream& stream = *aPending.stream_;
   stream.relay_.StartAttempt();
-  stream.window_.ForgetPause();
+  stream.window_.ClearPause();
   stream.head_ = {};
   stream.events_ = false;
   stream.lastProgress_ = host_.Now();
--- a/src/runtime/curl_loop.cpp
+++ b/src/runtime/curl_loop.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 /// Idle connections kept by each loop.
-constexpr long kIdleConnections = 512;
+constexpr long kMaxIdleConnections = 512;
 /// Events taken from the epoll set at once.
-constexpr int kEventsAtOnce = 64;
+constexpr int kMaxEventsPerWait = 64;
 /// How often libcurl may want to act again at once before other work of the
 /// loop has its turn.
-constexpr int kActionsAtOnce = 4;
+constexpr int kMaxActionsPerTurn = 4;
 
 std::uint32_t
 EpollEvents(int aWhat) noexcept
@@ -54,17 +54,17 @@
   , ready_(aContext, epoll_)
   , timer_(aContext)
 {
-  curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kIdleConnections);
+  curl_multi_setopt(multi_, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
   curl_multi_setopt(multi_, CURLMOPT_SOCKETFUNCTION, OnSocket);
   curl_multi_setopt(multi_, CURLMOPT_SOCKETDATA, this);
   curl_multi_setopt(multi_, CURLMOPT_TIMERFUNCTION, OnTimer);
   curl_multi_setopt(multi_, CURLMOPT_TIMERDATA, this);
-  WatchReady();
+  WaitForReadySockets();
 }
 
 CurlLoop::~CurlLoop()
 {
-  for (CURL* easy : idle_) {
+  for (CURL* easy : idleHandles_) {
     curl_easy_cleanup(easy);
   }
   curl_multi_cleanup(multi_);
@@ -108,8 +108,8 @@
 CurlLoop::Drive()
 {
   TakePosted();
-  ActIfDue();
-  Collect();
+  RunTimeoutIfDue();
+  FinishCompleted();
   ArmTimer();
 }
 
@@ -140,7 +140,7 @@
 CURL*
 CurlLoop::TakeHandle()
 {
-  if (idle_.empty()) {
+  if (idleHandles_.empty()) {
     CURL* easy = curl_easy_init();
     CurlTransfer::PrepareHandle(easy);
     curl_easy_setopt(easy, CURLOPT_OPENSOCKETFUNCTION, OnOpen);
@@ -149,8 +149,8 @@
     curl_easy_setopt(easy, CURLOPT_CLOSESOCKETDATA, this);
     return easy;
   }
-  CURL* easy = idle_.back();
-  idle_.pop_back();
+  CURL* easy = idleHandles_.back();
+  idleHandles_.pop_back();
   return easy;
 }
 
@@ -161,40 +161,41 @@
   transfer.Attach(TakeHandle());
   active_.emplace(transfer.Id(), std::move(aTransfer));
   curl_multi_add_handle(multi_, transfer.Handle());
-  WatchSilence(transfer);
+  ArmIdleTimer(transfer);
 }
 
 void
-CurlLoop::WatchSilence(CurlTransfer& aTransfer)
+CurlLoop::ArmIdleTimer(CurlTransfer& aTransfer)
 {
-  if (!aTransfer.Silence().Limited()) {
+  if (!aTransfer.Idle().Limited()) {
     return;
   }
   const HttpCallId id = aTransfer.Id();
-  asio::steady_timer& timer = silences_.try_emplace(id, context_).first->second;
-  timer.expires_at(aTransfer.Silence().DueAt());
+  asio::steady_timer& timer =
+    idleTimers_.try_emplace(id, context_).first->second;
+  timer.expires_at(aTransfer.Idle().DueAt());
   timer.async_wait([this, id](const asio::error_code& aError) {
     if (!aError) {
-      EndIfSilent(id);
+      EndIfIdle(id);
     }
   });
 }
 
 void
-CurlLoop::EndIfSilent(HttpCallId aId)
+CurlLoop::EndIfIdle(HttpCallId aId)
 {
   // Bytes that have come count before the time does.
-  TakeReady();
+  HandleReadySockets();
   Drive();
   const auto it = active_.find(aId);
   if (it == active_.end()) {
     return;
   }
   CurlTransfer& transfer = *it->second;
-  if (transfer.Silence().Check(std::chrono::steady_clock::now())) {
+  if (transfer.Idle().Check(std::chrono::steady_clock::now())) {
     Finish(transfer, CURLE_OPERATION_TIMEDOUT);
   } else {
-    WatchSilence(transfer);
+    ArmIdleTimer(transfer);
   }
 }
 
@@ -221,9 +222,9 @@
 }
 
 void
-CurlLoop::ActIfDue()
+CurlLoop::RunTimeoutIfDue()
 {
-  for (int i = 0; i < kActionsAtOnce; ++i) {
+  for (int i = 0; i < kMaxActionsPerTurn; ++i) {
     if (due_ == Instant::max() || due_ > std::chrono::steady_clock::now()) {
       return;
     }
@@ -234,23 +235,23 @@
 }
 
 void
-CurlLoop::WatchReady()
+CurlLoop::WaitForReadySockets()
 {
   ready_.async_wait(asio::posix::stream_descriptor::wait_read,
                     [this](const asio::error_code& aError) {
                       if (!aError) {
-                        TakeReady();
+                        HandleReadySockets();
                         Drive();
-                        WatchReady();
+                        WaitForReadySockets();
                       }
                     });
 }
 
 void
-CurlLoop::TakeReady()
+CurlLoop::HandleReadySockets()
 {
-  std::array<epoll_event, kEventsAtOnce> events{};
-  const int count = epoll_wait(epoll_, events.data(), kEventsAtOnce, 0);
+  std::array<epoll_event, kMaxEventsPerWait> events{};
+  const int count = epoll_wait(epoll_, events.data(), kMaxEventsPerWait, 0);
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events.at(static_cast<std::size_t>(i));
     const curl_socket_t socket = event.data.fd;
@@ -285,7 +286,7 @@
 }
 
 void
-CurlLoop::Collect()
+CurlLoop::FinishCompleted()
 {
   int left = 0;
   while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
@@ -304,15 +305,15 @@
 {
   HttpResult result = aTransfer.TakeResult(aCode);
   curl_multi_remove_handle(multi_, aTransfer.Handle());
-  idle_.push_back(aTransfer.Handle());
+  idleHandles_.push_back(aTransfer.Handle());
   const HttpDone done = aTransfer.TakeDone();
-  silences_.erase(aTransfer.Id());
+  idleTimers_.erase(aTransfer.Id());
   active_.erase(aTransfer.Id());
   done(std::move(result));
 }
 
 void
-CurlLoop::EndAll()
+CurlLoop::CancelAll()
 {
   TakePosted();
   while (!active_.empty()) {
@@ -347,7 +348,7 @@
   event.data.fd = aSocket;
   const int action = interest.watched_ == 0 ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
   if (epoll_ctl(epoll_, action, aSocket, &event) != 0) {
-    OnNotWatched(aSocket);
+    OnWatchFailed(aSocket);
     return;
   }
   interest.watched_ = event.events;
@@ -355,7 +356,7 @@
 
 /// libcurl may say only after closing a socket that it wants no more of it.
 void
-CurlLoop::OnNotWatched(curl_socket_t aSocket)
+CurlLoop::OnWatchFailed(curl_socket_t aSocket)
 {
   const std::error_code error(errno, std::generic_category());
   Interest& interest = InterestOf(aSocket);
--- a/src/runtime/curl_loop.hpp
+++ b/src/runtime/curl_loop.hpp
@@ -31,7 +31,7 @@
   /// Goes on receiving a paused transfer.
   void Resume(HttpCallId aId);
   /// Ends all calls as cancelled. Only once the loop has stopped.
-  void EndAll();
+  void CancelAll();
 
 private:
   using Instant = SteadyTime;
@@ -61,18 +61,18 @@
   void StartTransfer(std::unique_ptr<CurlTransfer> aTransfer);
   void CancelTransfer(HttpCallId aId);
   /// Looks at a call again when its silence is over, if it has a limit.
-  void WatchSilence(CurlTransfer& aTransfer);
-  void EndIfSilent(HttpCallId aId);
+  void ArmIdleTimer(CurlTransfer& aTransfer);
+  void EndIfIdle(HttpCallId aId);
   void ResumeTransfer(HttpCallId aId);
-  void ActIfDue();
-  void WatchReady();
-  void TakeReady();
+  void RunTimeoutIfDue();
+  void WaitForReadySockets();
+  void HandleReadySockets();
   void ArmTimer();
-  void Collect();
+  void FinishCompleted();
   void Finish(CurlTransfer& aTransfer, CURLcode aCode);
   void OnOpened(curl_socket_t aSocket);
   void SetInterest(curl_socket_t aSocket, std::uint32_t aWanted);
-  void OnNotWatched(curl_socket_t aSocket);
+  void OnWatchFailed(curl_socket_t aSocket);
   [[nodiscard]] Interest& InterestOf(curl_socket_t aSocket);
   [[nodiscard]] CURL* TakeHandle();
 
@@ -88,8 +88,8 @@
   std::vector<Interest> interests_;
   std::unordered_map<HttpCallId, std::unique_ptr<CurlTransfer>> active_;
   /// Of calls whose silence is limited.
-  std::unordered_map<HttpCallId, asio::steady_timer> silences_;
-  std::vector<CURL*> idle_;
+  std::unordered_map<HttpCallId, asio::steady_timer> idleTimers_;
+  std::vector<CURL*> idleHandles_;
 
   std::mutex mutex_;
   bool scheduled_ = false;
--- a/src/runtime/curl_transfer.cpp
+++ b/src/runtime/curl_transfer.cpp
@@ -10,7 +10,7 @@
 /// that taking and returning one is cheap.
 constexpr long kReadBufferBytes = 8L * 1024L;
 /// Statuses below are interim ones (RFC 9110, 15.2): the answer is to come.
-constexpr long kFirstFinalStatus = 200;
+constexpr long kMinFinalStatus = 200;
 
 std::string_view
 TrimValue(std::string_view aText) noexcept
@@ -39,7 +39,7 @@
   : id_(aId)
   , call_(std::move(aCall))
   , done_(std::move(aDone))
-  , silence_(call_.silence_)
+  , idleTimeout_(call_.idleTimeout_)
 {
 }
 
@@ -51,7 +51,7 @@
 {
   auto& transfer = *static_cast<CurlTransfer*>(aUser);
   auto& headers = transfer.response_.headers_;
-  transfer.NoteByte();
+  transfer.OnByteReceived();
   const std::string_view line(aData, aSize * aCount);
   if (line.starts_with("HTTP/")) {
     headers.clear();
@@ -78,7 +78,7 @@
 {
   auto& transfer = *static_cast<CurlTransfer*>(aUser);
   const std::size_t bytes = aSize * aCount;
-  transfer.NoteByte();
+  transfer.OnByteReceived();
   if (transfer.call_.mayReceive_ && !transfer.call_.mayReceive_()) {
     return CURL_WRITEFUNC_PAUSE;
   }
@@ -108,7 +108,7 @@
 CurlTransfer::Attach(CURL* aEasy)
 {
   easy_ = aEasy;
-  NoteByte();
+  OnByteReceived();
   const long fresh = call_.atMostOnce_ || call_.newConnection_ ? 1L : 0L;
   const long single = call_.atMostOnce_ ? 1L : 0L;
   curl_easy_setopt(easy_, CURLOPT_PRIVATE, this);
@@ -126,10 +126,10 @@
 
 /// The clock is read for each line of a head, so only where it counts.
 void
-CurlTransfer::NoteByte()
+CurlTransfer::OnByteReceived()
 {
-  if (silence_.Limited()) {
-    silence_.OnByte(std::chrono::steady_clock::now());
+  if (idleTimeout_.Limited()) {
+    idleTimeout_.OnByte(std::chrono::steady_clock::now());
   }
 }
 
@@ -154,25 +154,25 @@
 void
 CurlTransfer::SetHeaders()
 {
-  lines_.reserve(call_.headers_.size() + 1);
+  headerLines_.reserve(call_.headers_.size() + 1);
   for (const HttpHeader& header : call_.headers_) {
-    lines_.push_back(header.name_ + ": " + header.value_);
+    headerLines_.push_back(header.name_ + ": " + header.value_);
   }
-  lines_.emplace_back("Expect:");
+  headerLines_.emplace_back("Expect:");
   // What the call does not name is not to be added by the library.
   for (const char* added : { "Accept", "Content-Type" }) {
     if (!FindHeader(call_.headers_, added)) {
-      lines_.push_back(std::string(added) + ":");
+      headerLines_.push_back(std::string(added) + ":");
     }
   }
-  nodes_.reserve(lines_.size());
-  for (std::string& line : lines_) {
-    nodes_.push_back({ line.data(), nullptr });
+  headerNodes_.reserve(headerLines_.size());
+  for (std::string& line : headerLines_) {
+    headerNodes_.push_back({ line.data(), nullptr });
   }
-  for (std::size_t i = 1; i < nodes_.size(); ++i) {
-    nodes_[i - 1].next = &nodes_[i];
+  for (std::size_t i = 1; i < headerNodes_.size(); ++i) {
+    headerNodes_[i - 1].next = &headerNodes_[i];
   }
-  curl_easy_setopt(easy_, CURLOPT_HTTPHEADER, nodes_.data());
+  curl_easy_setopt(easy_, CURLOPT_HTTPHEADER, headerNodes_.data());
 }
 
 /// Reports the head once: neither an interim one nor a trailer.
@@ -181,10 +181,10 @@
 {
   long status = 0;
   curl_easy_getinfo(easy_, CURLINFO_RESPONSE_CODE, &status);
-  if (headSeen_ || status < kFirstFinalStatus) {
+  if (headReported_ || status < kMinFinalStatus) {
     return true;
   }
-  headSeen_ = true;
+  headReported_ = true;
   response_.status_ = static_cast<int>(status);
   if (call_.onHead_ && !call_.onHead_(response_.status_, response_.headers_)) {
     cancelled_ = true;
--- a/src/runtime/curl_transfer.hpp
+++ b/src/runtime/curl_transfer.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "marjoramtally/runtime/http_client.hpp"
-#include "runtime/silence_limit.hpp"
+#include "runtime/idle_timeout.hpp"
 
 #include <curl/curl.h>
 
@@ -19,7 +19,7 @@
   [[nodiscard]] CURL* Handle() const noexcept { return easy_; }
   void MarkCancelled() noexcept { cancelled_ = true; }
   /// How long no byte may come.
-  [[nodiscard]] SilenceLimit& Silence() noexcept { return silence_; }
+  [[nodiscard]] IdleTimeout& Idle() noexcept { return idleTimeout_; }
 
   /// Sets what is the same for every call; once for each handle.
   static void PrepareHandle(CURL* aEasy);
@@ -38,7 +38,7 @@
                             std::size_t aSize,
                             std::size_t aCount,
                             void* aUser);
-  void NoteByte();
+  void OnByteReceived();
   void SetMethod();
   void SetHeaders();
   /// @returns whether the answer is believed
@@ -49,12 +49,12 @@
   HttpCall call_;
   HttpDone done_;
   HttpResponse response_;
-  SilenceLimit silence_;
+  IdleTimeout idleTimeout_;
   CURL* easy_ = nullptr;
   /// The request's header lines and the list of them that libcurl reads.
-  std::vector<std::string> lines_;
-  std::vector<curl_slist> nodes_;
-  bool headSeen_ = false;
+  std::vector<std::string> headerLines_;
+  std::vector<curl_slist> headerNodes_;
+  bool headReported_ = false;
   bool cancelled_ = false;
 };
 
--- a/src/runtime/embedded_records.cpp
+++ b/src/runtime/embedded_records.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr int kBusyMillis = 5000;
+constexpr int kLockTimeoutMillis = 5000;
 /// Changes kept for watches that start at an earlier revision.
-constexpr std::int64_t kKeptChanges = 10'000;
+constexpr std::int64_t kMaxKeptChanges = 10'000;
 
 /// A write-ahead log that is synced at each commit: what was answered
 /// outlasts the machine's failure.
-constexpr const char* kSetUp = R"(
+constexpr const char* kSchemaSql = R"(
 PRAGMA journal_mode = WAL;
 PRAGMA synchronous = FULL;
 CREATE TABLE IF NOT EXISTS meta(
@@ -35,7 +35,7 @@
 
 } // namespace
 
-/// Holds the write lock until it is committed, or rolls back.
+/// CompareHolds the write lock until it is committed, or rolls back.
 class EmbeddedRecords::Transaction
 {
 public:
@@ -72,8 +72,8 @@
   if (code != SQLITE_OK) {
     throw SqliteError(sqlite3_errstr(code));
   }
-  sqlite3_busy_timeout(raw, kBusyMillis);
-  Run(kSetUp);
+  sqlite3_busy_timeout(raw, kLockTimeoutMillis);
+  Run(kSchemaSql);
   Transaction transaction(*this);
   Run("INSERT OR IGNORE INTO meta VALUES(CAST('revision' AS BLOB), 1)");
   Run("INSERT OR IGNORE INTO meta VALUES(CAST('lease' AS BLOB), 1000)");
@@ -130,7 +130,7 @@
 EmbeddedRecords::Read(const std::string& aPrefix, TimePoint aNow)
 {
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
+  ExpireLeases(aNow);
   StoreRange range;
   range.revision_ = Revision();
   auto row = Prepare("SELECT key, value, created, modified, lease FROM records "
@@ -148,7 +148,7 @@
 }
 
 bool
-EmbeddedRecords::Holds(const StoreCompare& aCompare)
+EmbeddedRecords::CompareHolds(const StoreCompare& aCompare)
 {
   auto row = Prepare("SELECT modified FROM records WHERE key = ?1");
   row.Bind(aCompare.key_);
@@ -166,11 +166,11 @@
 EmbeddedRecords::Commit(const StoreTxn& aTxn, TimePoint aNow)
 {
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
-  const bool holds =
-    std::all_of(aTxn.compares_.begin(),
-                aTxn.compares_.end(),
-                [this](const StoreCompare& aOne) { return Holds(aOne); });
+  ExpireLeases(aNow);
+  const bool holds = std::all_of(
+    aTxn.compares_.begin(),
+    aTxn.compares_.end(),
+    [this](const StoreCompare& aOne) { return CompareHolds(aOne); });
   std::int64_t revision = Meta("revision");
   if (holds && !(aTxn.puts_.empty() && aTxn.deletes_.empty())) {
     SetMeta("revision", ++revision);
@@ -183,7 +183,7 @@
     for (const std::string& key : aTxn.deletes_) {
       Delete(key, revision);
     }
-    ForgetOldChanges();
+    DeleteOldChanges();
   }
   transaction.Commit();
   return StoreCommit{ holds, static_cast<std::uint64_t>(revision) };
@@ -224,7 +224,7 @@
 EmbeddedRecords::Grant(Duration aTtl, TimePoint aNow)
 {
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
+  ExpireLeases(aNow);
   const std::int64_t id = Meta("lease") + 1;
   SetMeta("lease", id);
   Prepare("INSERT INTO leases VALUES(?1, ?2, ?3)")
@@ -240,7 +240,7 @@
 EmbeddedRecords::KeepAlive(StoreLeaseId aLease, TimePoint aNow)
 {
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
+  ExpireLeases(aNow);
   Prepare("UPDATE leases SET ends = ?1 + ttl WHERE id = ?2")
     .Bind(Micros(aNow))
     .Bind(aLease)
@@ -256,13 +256,13 @@
 EmbeddedRecords::Revoke(StoreLeaseId aLease, TimePoint aNow)
 {
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
-  EndLease(aLease);
+  ExpireLeases(aNow);
+  RemoveLease(aLease);
   transaction.Commit();
 }
 
 void
-EmbeddedRecords::EndLease(StoreLeaseId aLease)
+EmbeddedRecords::RemoveLease(StoreLeaseId aLease)
 {
   Prepare("DELETE FROM leases WHERE id = ?1").Bind(aLease).Step();
   std::vector<std::string> keys;
@@ -284,7 +284,7 @@
 }
 
 void
-EmbeddedRecords::EndLeasesDue(TimePoint aNow)
+EmbeddedRecords::ExpireLeases(TimePoint aNow)
 {
   std::vector<StoreLeaseId> due;
   auto row = Prepare("SELECT id FROM leases WHERE ends <= ?1");
@@ -293,12 +293,12 @@
     due.push_back(row.Number(0));
   }
   for (const StoreLeaseId lease : due) {
-    EndLease(lease);
+    RemoveLease(lease);
   }
 }
 
 bool
-EmbeddedRecords::AnyLeaseDue(TimePoint aNow)
+EmbeddedRecords::AnyLeaseExpired(TimePoint aNow)
 {
   return Prepare("SELECT 1 FROM leases WHERE ends <= ?1")
     .Bind(Micros(aNow))
@@ -306,11 +306,11 @@
 }
 
 void
-EmbeddedRecords::ForgetOldChanges()
+EmbeddedRecords::DeleteOldChanges()
 {
   Prepare("DELETE FROM changes WHERE number <= "
           "(SELECT max(number) FROM changes) - ?1")
-    .Bind(kKeptChanges)
+    .Bind(kMaxKeptChanges)
     .Step();
 }
 
@@ -321,16 +321,17 @@
 {
   RecordChanges changes;
   changes.revision_ = Revision();
-  if (changes.revision_ < aRevision && !AnyLeaseDue(aNow)) {
+  if (changes.revision_ < aRevision && !AnyLeaseExpired(aNow)) {
     return changes;
   }
   Transaction transaction(*this);
-  EndLeasesDue(aNow);
+  ExpireLeases(aNow);
   changes.revision_ = Revision();
   auto oldest = Prepare("SELECT number, revision FROM changes "
                         "ORDER BY number LIMIT 1");
-  changes.lost_ = oldest.Step() && oldest.Number(0) > 1 &&
-                  aRevision <= static_cast<std::uint64_t>(oldest.Number(1));
+  changes.incomplete_ =
+    oldest.Step() && oldest.Number(0) > 1 &&
+    aRevision <= static_cast<std::uint64_t>(oldest.Number(1));
   auto row =
     Prepare("SELECT deleted, key, value, created, revision, lease FROM changes "
             "WHERE revision >= ?1 AND substr(key, 1, ?2) = ?3 ORDER BY number");
--- a/src/runtime/embedded_records.hpp
+++ b/src/runtime/embedded_records.hpp
@@ -13,7 +13,7 @@
 struct RecordChanges
 {
   /// Set if some of them are no longer kept.
-  bool lost_ = false;
+  bool incomplete_ = false;
   std::uint64_t revision_ = 0;
   std::vector<StoreEvent> events_;
 };
@@ -52,14 +52,14 @@
   [[nodiscard]] SqliteStatement Prepare(const std::string& aSql);
   [[nodiscard]] std::int64_t Meta(const std::string& aName);
   void SetMeta(const std::string& aName, std::int64_t aValue);
-  [[nodiscard]] bool Holds(const StoreCompare& aCompare);
+  [[nodiscard]] bool CompareHolds(const StoreCompare& aCompare);
   [[nodiscard]] bool HasLease(StoreLeaseId aLease);
   void Put(const StorePut& aPut, std::int64_t aRevision);
   void Delete(const std::string& aKey, std::int64_t aRevision);
-  void EndLease(StoreLeaseId aLease);
-  [[nodiscard]] bool AnyLeaseDue(TimePoint aNow);
-  void EndLeasesDue(TimePoint aNow);
-  void ForgetOldChanges();
+  void RemoveLease(StoreLeaseId aLease);
+  [[nodiscard]] bool AnyLeaseExpired(TimePoint aNow);
+  void ExpireLeases(TimePoint aNow);
+  void DeleteOldChanges();
 
   std::unique_ptr<sqlite3, Close> database_;
 };
--- a/src/runtime/embedded_store.cpp
+++ b/src/runtime/embedded_store.cpp
@@ -102,7 +102,7 @@
         watch->from_ = records_.Revision() + 1;
       }
       const std::lock_guard inner(mutex_);
-      if (stopped_.erase(id) == 0) {
+      if (stoppedBeforeOpen_.erase(id) == 0) {
         watches_.emplace(id, watch);
       }
     });
@@ -114,7 +114,7 @@
   {
     const std::lock_guard lock(mutex_);
     if (watches_.erase(aWatch) == 0) {
-      stopped_.emplace(aWatch, true);
+      stoppedBeforeOpen_.emplace(aWatch, true);
     }
   }
 
@@ -125,14 +125,14 @@
     const std::lock_guard lock(mutex_);
     tasks_.emplace_back(
       [done = std::move(aDone), function = std::move(aFunction)] {
-        done(Guarded<T>(function));
+        done(RunCatching<T>(function));
       });
     wake_.notify_one();
   }
 
   /// A transaction that failed was rolled back, so it took no effect.
   template<typename T, typename Function>
-  static Result<T> Guarded(const Function& aFunction)
+  static Result<T> RunCatching(const Function& aFunction)
   {
     try {
       return aFunction();
@@ -159,12 +159,12 @@
       for (const auto& task : tasks) {
         task();
       }
-      TellWatches();
+      NotifyWatches();
       lock.lock();
     }
   }
 
-  void TellWatches()
+  void NotifyWatches()
   {
     std::map<StoreWatchId, std::shared_ptr<OpenWatch>> watches;
     {
@@ -172,27 +172,30 @@
       watches = watches_;
     }
     for (const auto& [id, watch] : watches) {
-      const auto changes = Guarded<RecordChanges>([this, &watch = *watch]() {
-        return records_.ChangesFrom(watch.prefix_, watch.from_, clock_.Now());
-      });
+      const auto changes =
+        RunCatching<RecordChanges>([this, &watch = *watch]() {
+          return records_.ChangesFrom(watch.prefix_, watch.from_, clock_.Now());
+        });
       if (changes) {
-        Tell(id, *watch, changes.value());
+        Notify(id, *watch, changes.value());
       }
     }
   }
 
-  void Tell(StoreWatchId aId, OpenWatch& aWatch, const RecordChanges& aChanges)
+  void Notify(StoreWatchId aId,
+              OpenWatch& aWatch,
+              const RecordChanges& aChanges)
   {
     {
       const std::lock_guard lock(mutex_);
       if (!watches_.contains(aId)) {
         return;
       }
-      if (aChanges.lost_) {
+      if (aChanges.incomplete_) {
         watches_.erase(aId);
       }
     }
-    if (aChanges.lost_) {
+    if (aChanges.incomplete_) {
       aWatch.onBatch_({ true, false, aChanges.revision_, {} });
       return;
     }
@@ -209,7 +212,7 @@
   std::deque<std::function<void()>> tasks_;
   std::map<StoreWatchId, std::shared_ptr<OpenWatch>> watches_;
   /// Stopped before they were open.
-  std::map<StoreWatchId, bool> stopped_;
+  std::map<StoreWatchId, bool> stoppedBeforeOpen_;
   StoreWatchId lastWatch_ = 0;
   bool stopping_ = false;
   std::thread thread_;
--- a/src/runtime/etcd_store.cpp
+++ b/src/runtime/etcd_store.cpp
@@ -13,10 +13,10 @@
 using Json = nlohmann::json;
 
 /// A watch call ends and is renewed after this long.
-constexpr auto kWatchLimit = std::chrono::minutes(10);
+constexpr auto kWatchTimeout = std::chrono::minutes(10);
 
 std::string
-Encode(const std::string& aText)
+EncodeBase64(const std::string& aText)
 {
   const auto bytes =
     kj::arrayPtr(reinterpret_cast<const kj::byte*>(aText.data()), aText.size());
@@ -24,7 +24,7 @@
 }
 
 std::string
-Decode(const std::string& aText)
+DecodeBase64(const std::string& aText)
 {
   const auto bytes = kj::decodeBase64(kj::arrayPtr(aText.data(), aText.size()));
   return { reinterpret_cast<const char*>(bytes.begin()), bytes.size() };
@@ -70,8 +70,8 @@
 ParseRecord(const Json& aKv)
 {
   StoreRecord record;
-  record.key_ = Decode(aKv.value("key", ""));
-  record.value_ = Decode(aKv.value("value", ""));
+  record.key_ = DecodeBase64(aKv.value("key", ""));
+  record.value_ = DecodeBase64(aKv.value("value", ""));
   record.createRevision_ =
     static_cast<std::uint64_t>(Number(aKv, "create_revision"));
   record.modRevision_ = static_cast<std::uint64_t>(Number(aKv, "mod_revision"));
@@ -109,7 +109,7 @@
   Json compares = Json::array();
   for (const StoreCompare& compare : aTxn.compares_) {
     compares.push_back(
-      { { "key", Encode(compare.key_) },
+      { { "key", EncodeBase64(compare.key_) },
         { "target", "MOD" },
         { "result", "EQUAL" },
         { "mod_revision", std::to_string(compare.modRevision_) } });
@@ -117,12 +117,13 @@
   Json steps = Json::array();
   for (const StorePut& put : aTxn.puts_) {
     steps.push_back({ { "request_put",
-                        { { "key", Encode(put.key_) },
-                          { "value", Encode(put.value_) },
+                        { { "key", EncodeBase64(put.key_) },
+                          { "value", EncodeBase64(put.value_) },
                           { "lease", std::to_string(put.lease_) } } } });
   }
   for (const std::string& key : aTxn.deletes_) {
-    steps.push_back({ { "request_delete_range", { { "key", Encode(key) } } } });
+    steps.push_back(
+      { { "request_delete_range", { { "key", EncodeBase64(key) } } } });
   }
   return { { "compare", compares }, { "success", steps } };
 }
@@ -163,13 +164,14 @@
   void Read(std::string aPrefix, StoreDone<StoreRange> aDone) override
   {
     const std::string end = PrefixEnd(aPrefix);
-    const Json body{ { "key", Encode(aPrefix) }, { "range_end", Encode(end) } };
-    Ask<StoreRange>("/v3/kv/range", body, ParseRange, std::move(aDone));
+    const Json body{ { "key", EncodeBase64(aPrefix) },
+                     { "range_end", EncodeBase64(end) } };
+    Request<StoreRange>("/v3/kv/range", body, ParseRange, std::move(aDone));
   }
 
   void Commit(StoreTxn aTxn, StoreDone<StoreCommit> aDone) override
   {
-    Ask<StoreCommit>(
+    Request<StoreCommit>(
       "/v3/kv/txn", TxnBody(aTxn), ParseCommit, std::move(aDone));
   }
 
@@ -177,19 +179,20 @@
   {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(aTtl).count();
     const Json body{ { "TTL", std::to_string(seconds) } };
-    Ask<StoreLease>("/v3/lease/grant", body, ParseLease, std::move(aDone));
+    Request<StoreLease>("/v3/lease/grant", body, ParseLease, std::move(aDone));
   }
 
   void KeepAlive(StoreLeaseId aLease, StoreDone<StoreLease> aDone) override
   {
     const Json body{ { "ID", std::to_string(aLease) } };
-    Ask<StoreLease>("/v3/lease/keepalive", body, ParseLease, std::move(aDone));
+    Request<StoreLease>(
+      "/v3/lease/keepalive", body, ParseLease, std::move(aDone));
   }
 
   void RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone) override
   {
     const Json body{ { "ID", std::to_string(aLease) } };
-    Ask<bool>(
+    Request<bool>(
       "/v3/lease/revoke",
       body,
       [](const Json&) { return true; },
@@ -203,13 +206,13 @@
   {
     auto watch = std::make_shared<WatchState>();
     watch->onBatch_ = std::move(aOnBatch);
-    const Json create{ { "key", Encode(aPrefix) },
-                       { "range_end", Encode(PrefixEnd(aPrefix)) },
+    const Json create{ { "key", EncodeBase64(aPrefix) },
+                       { "range_end", EncodeBase64(PrefixEnd(aPrefix)) },
                        { "start_revision", std::to_string(aFromRevision) } };
     HttpCall call = MakeCall("/v3/watch", { { "create_request", create } });
-    call.timeout_ = kWatchLimit;
+    call.timeout_ = kWatchTimeout;
     call.onData_ = [watch](std::string_view aData) {
-      return TakeWatchData(*watch, aData);
+      return OnWatchData(*watch, aData);
     };
     const std::lock_guard lock(mutex_);
     const StoreWatchId id = ++lastWatch_;
@@ -235,7 +238,7 @@
   }
 
 private:
-  static bool TakeWatchData(WatchState& aWatch, std::string_view aData)
+  static bool OnWatchData(WatchState& aWatch, std::string_view aData)
   {
     aWatch.pending_ += aData;
     std::size_t end = aWatch.pending_.find('\n');
@@ -265,21 +268,21 @@
   }
 
   template<typename T>
-  void Ask(const std::string& aPath,
-           const Json& aBody,
-           std::function<T(const Json&)> aParse,
-           StoreDone<T> aDone)
+  void Request(const std::string& aPath,
+               const Json& aBody,
+               std::function<T(const Json&)> aParse,
+               StoreDone<T> aDone)
   {
     client_.Send(MakeCall(aPath, aBody),
                  [parse = std::move(aParse),
                   done = std::move(aDone)](const HttpResult& aResult) {
-                   done(Interpret<T>(aResult, parse));
+                   done(ParseReply<T>(aResult, parse));
                  });
   }
 
   template<typename T>
-  static Result<T> Interpret(const HttpResult& aResult,
-                             const std::function<T(const Json&)>& aParse)
+  static Result<T> ParseReply(const HttpResult& aResult,
+                              const std::function<T(const Json&)>& aParse)
   {
     if (aResult.end_ == HttpEnd::NotSent) {
       return Error{ ErrorKind::Unavailable,
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -25,7 +25,7 @@
   {
     pool_->Stop();
     for (const auto& loop : loops_) {
-      loop->EndAll();
+      loop->CancelAll();
     }
   }
 
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -33,9 +33,9 @@
   {
     // The caller may have used its port again for a connection of which this
     // one, held by an old reply, must not take the place.
-    const auto it = Known().find(caller_);
-    if (known_ && it != Known().end() && it->second == this) {
-      Known().erase(it);
+    const auto it = OpenSockets().find(remote_);
+    if (registered_ && it != OpenSockets().end() && it->second == this) {
+      OpenSockets().erase(it);
     }
   }
 
@@ -44,14 +44,14 @@
   template<typename... Args>
   auto async_read_some(Args&&... aArgs)
   {
-    if (!known_) {
+    if (!registered_) {
       asio::error_code failure;
-      caller_ = remote_endpoint(failure);
-      known_ = !failure;
-      if (known_) {
+      remote_ = remote_endpoint(failure);
+      registered_ = !failure;
+      if (registered_) {
         static thread_local std::uint64_t last = 0;
         number_ = ++last;
-        Known()[caller_] = this;
+        OpenSockets()[remote_] = this;
       }
     }
     return Tcp::socket::async_read_some(std::forward<Args>(aArgs)...);
@@ -60,30 +60,31 @@
   /// @returns the number of the caller's present connection; 0 if it has none
   static std::uint64_t NumberOf(const Tcp::endpoint& aCaller)
   {
-    const auto it = Known().find(aCaller);
-    return it == Known().end() ? 0 : it->second->number_;
+    const auto it = OpenSockets().find(aCaller);
+    return it == OpenSockets().end() ? 0 : it->second->number_;
   }
 
   /// @returns that connection of a caller if it is open, or nullptr
   static CallerSocket* Find(const Tcp::endpoint& aCaller, std::uint64_t aNumber)
   {
-    const auto it = Known().find(aCaller);
-    const bool same = it != Known().end() && it->second->number_ == aNumber;
+    const auto it = OpenSockets().find(aCaller);
+    const bool same =
+      it != OpenSockets().end() && it->second->number_ == aNumber;
     return same ? it->second : nullptr;
   }
 
 private:
   /// Each loop has one thread, which alone uses its connections.
-  static std::map<Tcp::endpoint, CallerSocket*>& Known()
+  static std::map<Tcp::endpoint, CallerSocket*>& OpenSockets()
   {
-    static thread_local std::map<Tcp::endpoint, CallerSocket*> known;
-    return known;
+    static thread_local std::map<Tcp::endpoint, CallerSocket*> sockets;
+    return sockets;
   }
 
-  Tcp::endpoint caller_;
+  Tcp::endpoint remote_;
   /// Callers use their ports again; numbers are new.
   std::uint64_t number_ = 0;
-  bool known_ = false;
+  bool registered_ = false;
 };
 
 /// Each connection stays on the one thread of its loop, so no strand.
@@ -180,19 +181,19 @@
 
   void Abort() override
   {
-    OnLoop([self = shared_from_this()] { self->AbortNow(); });
+    RunOnLoop([self = shared_from_this()] { self->AbortNow(); });
   }
 
   void OnCallerGone(std::function<void()> aGone) override
   {
-    OnLoop([self = shared_from_this(), gone = std::move(aGone)] {
+    RunOnLoop([self = shared_from_this(), gone = std::move(aGone)] {
       self->WatchCaller(gone);
     });
   }
 
 private:
-  /// Sockets are known on their loop's thread alone.
-  void OnLoop(std::function<void()> aTask)
+  /// Sockets are sockets on their loop's thread alone.
+  void RunOnLoop(std::function<void()> aTask)
   {
     auto& context = state_->pool_->Loop(loop_).Context();
     if (context.get_executor().running_in_this_thread()) {
@@ -370,7 +371,7 @@
   /// The first loop's socket is bound to the port wanted; the others take
   /// it over. So a port in use is an error, as with one socket, and every
   /// loop accepts.
-  void TakeListener(restinio::asio_ns::ip::tcp::acceptor& aAcceptor)
+  void ShareListener(restinio::asio_ns::ip::tcp::acceptor& aAcceptor)
   {
     if (listener_ < 0) {
       listener_ = aAcceptor.native_handle();
@@ -395,7 +396,7 @@
       .incoming_http_msg_limits(
         restinio::incoming_http_msg_limits_t{}.max_body_size(bodyLimit))
       .acceptor_post_bind_hook(
-        [this](auto& aAcceptor) { TakeListener(aAcceptor); })
+        [this](auto& aAcceptor) { ShareListener(aAcceptor); })
       .socket_options_setter([](auto& aOptions) {
         aOptions.set_option(restinio::asio_ns::ip::tcp::no_delay{ true });
       })
--- a/src/runtime/silence_limit.hpp
+++ b/src/runtime/idle_timeout.hpp
@@ -13,13 +13,13 @@
 /// suspension or for want of a processor, does not take that time for its
 /// peer's silence: its check runs late, and the peer gets as much time again.
 /// The call's own time limit bounds how often.
-class SilenceLimit
+class IdleTimeout
 {
 public:
   using Span = std::chrono::steady_clock::duration;
 
-  SilenceLimit() = default;
-  explicit SilenceLimit(Span aLimit)
+  IdleTimeout() = default;
+  explicit IdleTimeout(Span aLimit)
     : limit_(aLimit)
   {
   }
@@ -37,7 +37,7 @@
     if (late < Span{ 0 }) {
       return false;
     }
-    if (late < kHeldUp) {
+    if (late < kDelayedTimer) {
       return true;
     }
     due_ = aNow + std::min(late, limit_);
@@ -46,7 +46,7 @@
 
 private:
   /// A timer that fires so much late fires in a process that was held up.
-  static constexpr std::chrono::milliseconds kHeldUp{ 250 };
+  static constexpr std::chrono::milliseconds kDelayedTimer{ 250 };
 
   Span limit_{ 0 };
   SteadyTime due_{};
--- a/src/runtime/io_pool.cpp
+++ b/src/runtime/io_pool.cpp
@@ -20,7 +20,7 @@
   std::size_t index_ = 0;
 };
 
-thread_local CurrentLoop gCurrent;
+thread_local CurrentLoop gCurrentLoop;
 
 class ThreadPool final : public IoPool
 {
@@ -32,7 +32,7 @@
     }
     for (std::size_t i = 0; i < loops_.size(); ++i) {
       threads_.emplace_back([this, i] {
-        gCurrent = { this, i };
+        gCurrentLoop = { this, i };
         loops_[i]->Context().run();
       });
     }
@@ -52,7 +52,8 @@
 
   [[nodiscard]] std::size_t Pick() noexcept override
   {
-    return gCurrent.pool_ == this ? gCurrent.index_ : next_++ % loops_.size();
+    return gCurrentLoop.pool_ == this ? gCurrentLoop.index_
+                                      : next_++ % loops_.size();
   }
 
   void Post(std::size_t aIndex, std::function<void()> aTask) override
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -37,17 +37,17 @@
   void append(const spi::LoggingEventPtr& aEvent, helpers::Pool& aPool) override
   {
     const auto now = marjoramtally::SystemClock().Now();
-    const std::uint64_t left = limit_.TakeLeftOut(now);
-    if (left > 0) {
+    const std::uint64_t dropped = limit_.TakeDroppedCount(now);
+    if (dropped > 0) {
       static_cast<void>(pending_.Put(
-        prefix_ + "event=log_lines_left_out count=" + std::to_string(left) +
+        prefix_ + "event=log_lines_left_out count=" + std::to_string(dropped) +
         "\n"));
     }
     if (limit_.Admit(now)) {
       LogString line;
       getLayout()->format(line, aEvent, aPool);
       if (!pending_.Put(line)) {
-        limit_.LeaveOut();
+        limit_.CountDropped();
       }
     }
     Flush();
@@ -65,7 +65,7 @@
       if (written <= 0) {
         return;
       }
-      pending_.Drop(static_cast<std::size_t>(written));
+      pending_.Consume(static_cast<std::size_t>(written));
     }
   }
 
--- a/src/runtime/log_story.cpp
+++ b/src/runtime/log_explanation.cpp
@@ -1,4 +1,4 @@
-#include "marjoramtally/runtime/log_story.hpp"
+#include "marjoramtally/runtime/log_explanation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -13,8 +13,8 @@
 
 /// Lines of other ids bear on a request for so long before its first line:
 /// longer than a sign of life lasts and a lost watch goes unnoticed.
-constexpr auto kBefore = std::chrono::seconds(6);
-constexpr auto kAfter = std::chrono::milliseconds(500);
+constexpr auto kLookBack = std::chrono::seconds(6);
+constexpr auto kLookAhead = std::chrono::milliseconds(500);
 
 /// Fields that name what a line is about.
 constexpr std::array<std::string_view, 4> kIdFields{ "id",
@@ -23,7 +23,7 @@
                                                      "call" };
 
 /// Events that tell what a process knew.
-constexpr std::array<std::string_view, 14> kBeliefs{
+constexpr std::array<std::string_view, 14> kStateEvents{
   "config_read",
   "upstreams_read",
   "watch_interrupted",
@@ -49,7 +49,7 @@
 
 template<std::size_t N>
 bool
-Among(const std::array<std::string_view, N>& aNames, std::string_view aName)
+Contains(const std::array<std::string_view, N>& aNames, std::string_view aName)
 {
   return std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
 }
@@ -93,7 +93,7 @@
 }
 
 bool
-Names(const LogLine& aLine, std::string_view aId)
+NamesId(const LogLine& aLine, std::string_view aId)
 {
   return std::any_of(
     kIdFields.begin(), kIdFields.end(), [&](std::string_view aField) {
@@ -101,8 +101,8 @@
     });
 }
 
-/// Who took part in a story, and when.
-struct Cast
+/// Who took part in a explanation, and when.
+struct Participants
 {
   std::set<std::string, std::less<>> instances_;
   std::set<std::string, std::less<>> upstreams_;
@@ -111,44 +111,45 @@
   Duration to_{ 0 };
 };
 
-Cast
-CastOf(const std::vector<LogLine>& aOwn)
+Participants
+ParticipantsOf(const std::vector<LogLine>& aOwn)
 {
-  Cast cast;
+  Participants participants;
   for (const LogLine& line : aOwn) {
     for (const auto& [field, into] :
-         { std::pair{ "instance", &cast.instances_ },
-           std::pair{ "upstream", &cast.upstreams_ },
-           std::pair{ "last_upstream", &cast.upstreams_ },
-           std::pair{ "job", &cast.jobs_ } }) {
+         { std::pair{ "instance", &participants.instances_ },
+           std::pair{ "upstream", &participants.upstreams_ },
+           std::pair{ "last_upstream", &participants.upstreams_ },
+           std::pair{ "job", &participants.jobs_ } }) {
       if (!line.Field(field).empty()) {
         into->emplace(line.Field(field));
       }
     }
   }
   if (!aOwn.empty()) {
-    cast.from_ = aOwn.front().time_ - kBefore;
-    cast.to_ = aOwn.back().time_ + kAfter;
+    participants.from_ = aOwn.front().time_ - kLookBack;
+    participants.to_ = aOwn.back().time_ + kLookAhead;
   }
-  return cast;
+  return participants;
 }
 
 bool
-BearsOn(const LogLine& aLine, const Cast& aCast)
+IsRelated(const LogLine& aLine, const Participants& aParticipants)
 {
-  if (aLine.time_ < aCast.from_ || aLine.time_ > aCast.to_) {
+  if (aLine.time_ < aParticipants.from_ || aLine.time_ > aParticipants.to_) {
     return false;
   }
   const std::string_view event = aLine.Event();
-  if (Among(kBeliefs, event)) {
-    return aCast.instances_.contains(aLine.Field("instance"));
+  if (Contains(kStateEvents, event)) {
+    return aParticipants.instances_.contains(aLine.Field("instance"));
   }
   // Upstreams are named `id` where they are what the line is about.
-  if (Among(kUpstreamEvents, event)) {
-    return aCast.upstreams_.contains(aLine.Field("upstream")) ||
-           aCast.upstreams_.contains(aLine.Field("id"));
+  if (Contains(kUpstreamEvents, event)) {
+    return aParticipants.upstreams_.contains(aLine.Field("upstream")) ||
+           aParticipants.upstreams_.contains(aLine.Field("id"));
   }
-  return event.starts_with("job_") && aCast.jobs_.contains(aLine.Field("job"));
+  return event.starts_with("job_") &&
+         aParticipants.jobs_.contains(aLine.Field("job"));
 }
 
 std::size_t
@@ -230,13 +231,14 @@
 }
 
 void
-AddUpstreamFindings(LogStory& aStory, const Cast& aCast)
+AddUpstreamFindings(LogExplanation& aExplanation,
+                    const Participants& aParticipants)
 {
-  for (const std::string& upstream : aCast.upstreams_) {
+  for (const std::string& upstream : aParticipants.upstreams_) {
     std::size_t failures = 0;
     std::size_t orders = 0;
     bool vanished = false;
-    for (const LogLine& line : aStory.around_) {
+    for (const LogLine& line : aExplanation.relatedLines_) {
       const bool about = line.Field("upstream") == upstream;
       orders += about && line.Event() == "order_sent" ? 1 : 0;
       failures += about && line.Event() != "order_sent" ? 1 : 0;
@@ -244,17 +246,17 @@
                               line.Field("id") == upstream);
     }
     if (failures > 0) {
-      aStory.findings_.push_back(fmt::format(
+      aExplanation.findings_.push_back(fmt::format(
         "upstream {} failed {} other calls around that time: look there",
         upstream,
         failures));
     }
     if (orders > 0) {
-      aStory.findings_.push_back(
+      aExplanation.findings_.push_back(
         fmt::format("upstream {} was ordered to change its weights", upstream));
     }
     if (vanished) {
-      aStory.findings_.push_back(
+      aExplanation.findings_.push_back(
         fmt::format("the registration of upstream {} vanished", upstream));
     }
   }
@@ -262,10 +264,10 @@
 
 /// A process whose last word on a dependency was its loss.
 void
-AddDependencyFindings(LogStory& aStory)
+AddDependencyFindings(LogExplanation& aExplanation)
 {
   std::map<std::string, std::string> lost;
-  for (const LogLine& line : aStory.around_) {
+  for (const LogLine& line : aExplanation.relatedLines_) {
     const std::string instance(line.Field("instance"));
     if (line.Event() == "dependency_lost") {
       lost[instance] = line.Field("dependency");
@@ -274,7 +276,7 @@
     }
   }
   for (const auto& [instance, dependency] : lost) {
-    aStory.findings_.push_back(
+    aExplanation.findings_.push_back(
       fmt::format("{} had lost its connection to {}",
                   instance,
                   dependency.empty() ? "the store" : dependency));
@@ -282,46 +284,48 @@
 }
 
 void
-AddFindings(LogStory& aStory, const Cast& aCast)
+AddFindings(LogExplanation& aExplanation, const Participants& aParticipants)
 {
-  if (aStory.own_.empty()) {
-    aStory.findings_.emplace_back(
+  if (aExplanation.ownLines_.empty()) {
+    aExplanation.findings_.emplace_back(
       "no line names this id: it reached none of these processes, or an "
       "upstream answered it");
     return;
   }
   const auto last = std::find_if(
-    aStory.own_.rbegin(), aStory.own_.rend(), [](const LogLine& aLine) {
-      return FindEnding(aLine) != nullptr;
-    });
-  aStory.findings_.push_back(
-    last == aStory.own_.rend()
+    aExplanation.ownLines_.rbegin(),
+    aExplanation.ownLines_.rend(),
+    [](const LogLine& aLine) { return FindEnding(aLine) != nullptr; });
+  aExplanation.findings_.push_back(
+    last == aExplanation.ownLines_.rend()
       ? std::string("no line tells its end: it was answered, or goes on")
       : Describe(*last, *FindEnding(*last)));
-  const std::size_t failed = CountEvents(aStory.own_, "attempt_failed") +
-                             CountEvents(aStory.own_, "answer_rejected") +
-                             CountEvents(aStory.own_, "run_interrupted");
+  const std::size_t failed =
+    CountEvents(aExplanation.ownLines_, "attempt_failed") +
+    CountEvents(aExplanation.ownLines_, "answer_rejected") +
+    CountEvents(aExplanation.ownLines_, "run_interrupted");
   if (failed > 0) {
-    aStory.findings_.push_back(
+    aExplanation.findings_.push_back(
       fmt::format("{} of its attempts gave no whole answer", failed));
   }
-  const std::size_t moved = CountEvents(aStory.own_, "attempt_outwaited") +
-                            CountEvents(aStory.own_, "run_silent") +
-                            CountEvents(aStory.own_, "run_moved");
+  const std::size_t moved =
+    CountEvents(aExplanation.ownLines_, "attempt_outwaited") +
+    CountEvents(aExplanation.ownLines_, "run_silent") +
+    CountEvents(aExplanation.ownLines_, "run_moved");
   if (moved > 0) {
-    aStory.findings_.push_back(fmt::format(
+    aExplanation.findings_.push_back(fmt::format(
       "{} of its attempts were given up for slowness or silence", moved));
   }
-  AddUpstreamFindings(aStory, aCast);
-  AddDependencyFindings(aStory);
-  if (CountEvents(aStory.around_, "job_claimed") > 0) {
-    aStory.findings_.emplace_back(
+  AddUpstreamFindings(aExplanation, aParticipants);
+  AddDependencyFindings(aExplanation);
+  if (CountEvents(aExplanation.relatedLines_, "job_claimed") > 0) {
+    aExplanation.findings_.emplace_back(
       "another process took its job over: runs began again from the texts "
       "that had been saved");
   }
-  if (CountEvents(aStory.around_, "log_lines_left_out") > 0) {
-    aStory.findings_.emplace_back(
-      "lines were left out of these logs; the story may have gaps");
+  if (CountEvents(aExplanation.relatedLines_, "log_lines_left_out") > 0) {
+    aExplanation.findings_.emplace_back(
+      "lines were left out of these logs; the explanation may have gaps");
   }
 }
 
@@ -357,17 +361,17 @@
   return line;
 }
 
-LogStory
-TellStory(const std::vector<std::string>& aLines, std::string_view aId)
+LogExplanation
+ExplainFromLogs(const std::vector<std::string>& aLines, std::string_view aId)
 {
-  LogStory story;
+  LogExplanation explanation;
   std::vector<LogLine> lines;
   Duration last{ 0 };
   for (const std::string& text : aLines) {
-    ++story.lines_;
+    ++explanation.linesRead_;
     auto line = ParseLogLine(text);
     if (!line) {
-      ++story.unread_;
+      ++explanation.unparsed_;
       continue;
     }
     last = ParseTime(std::string(line->Field("time"))).value_or(last);
@@ -378,16 +382,17 @@
     lines.begin(), lines.end(), [](const LogLine& aOne, const LogLine& aOther) {
       return aOne.time_ < aOther.time_;
     });
-  const auto own = [&](const LogLine& aLine) { return Names(aLine, aId); };
-  std::copy_if(lines.begin(), lines.end(), std::back_inserter(story.own_), own);
-  const Cast cast = CastOf(story.own_);
+  const auto own = [&](const LogLine& aLine) { return NamesId(aLine, aId); };
+  std::copy_if(
+    lines.begin(), lines.end(), std::back_inserter(explanation.ownLines_), own);
+  const Participants participants = ParticipantsOf(explanation.ownLines_);
   for (LogLine& line : lines) {
-    if (!own(line) && BearsOn(line, cast)) {
-      story.around_.push_back(std::move(line));
+    if (!own(line) && IsRelated(line, participants)) {
+      explanation.relatedLines_.push_back(std::move(line));
     }
   }
-  AddFindings(story, cast);
-  return story;
+  AddFindings(explanation, participants);
+  return explanation;
 }
 
 } // namespace marjoramtally
--- a/src/runtime/loop_timers.cpp
+++ b/src/runtime/loop_timers.cpp
@@ -16,7 +16,7 @@
 {
   using Instant = std::chrono::steady_clock::time_point;
   /// Ids grow, so that timers due at once run in the order they were set.
-  using Place = std::pair<Instant, LoopTimerId>;
+  using TimerKey = std::pair<Instant, LoopTimerId>;
 
   explicit TimerState(asio::io_context& aContext)
     : timer_(aContext)
@@ -46,7 +46,7 @@
     const Instant now = std::chrono::steady_clock::now();
     while (!tasks_.empty() && tasks_.begin()->first.first <= now) {
       auto node = tasks_.extract(tasks_.begin());
-      places_.erase(node.key().second);
+      dueTimes_.erase(node.key().second);
       node.mapped()();
     }
   }
@@ -54,8 +54,8 @@
   asio::steady_timer timer_;
   Instant armed_ = Instant::max();
   LoopTimerId last_ = 0;
-  std::map<Place, std::function<void()>> tasks_;
-  std::unordered_map<LoopTimerId, Instant> places_;
+  std::map<TimerKey, std::function<void()>> tasks_;
+  std::unordered_map<LoopTimerId, Instant> dueTimes_;
 };
 
 class AsioTimers final : public LoopTimers
@@ -69,25 +69,25 @@
   ~AsioTimers() override
   {
     state_->tasks_.clear();
-    state_->places_.clear();
+    state_->dueTimes_.clear();
   }
 
   LoopTimerId After(Duration aDelay, std::function<void()> aTask) override
   {
     const auto due = std::chrono::steady_clock::now() + aDelay;
     const LoopTimerId id = ++state_->last_;
-    state_->tasks_.emplace(TimerState::Place{ due, id }, std::move(aTask));
-    state_->places_.emplace(id, due);
+    state_->tasks_.emplace(TimerState::TimerKey{ due, id }, std::move(aTask));
+    state_->dueTimes_.emplace(id, due);
     state_->Arm();
     return id;
   }
 
   void Cancel(LoopTimerId aTimer) override
   {
-    const auto place = state_->places_.find(aTimer);
-    if (place != state_->places_.end()) {
-      state_->tasks_.erase(TimerState::Place{ place->second, aTimer });
-      state_->places_.erase(place);
+    const auto due = state_->dueTimes_.find(aTimer);
+    if (due != state_->dueTimes_.end()) {
+      state_->tasks_.erase(TimerState::TimerKey{ due->second, aTimer });
+      state_->dueTimes_.erase(due);
     }
   }
 
@@ -107,7 +107,7 @@
 ManualTimers::After(Duration aDelay, std::function<void()> aTask)
 {
   const LoopTimerId id = ++last_;
-  tasks_.emplace(Place{ clock_.Now() + aDelay, id }, std::move(aTask));
+  tasks_.emplace(TimerKey{ clock_.Now() + aDelay, id }, std::move(aTask));
   return id;
 }
 
--- a/src/runtime/rpc.cpp
+++ b/src/runtime/rpc.cpp
@@ -71,7 +71,7 @@
     }
     aOpened.set_value(true);
     while (!stopping_) {
-      auto next = mailbox_->Next();
+      auto next = mailbox_->RunPosted();
       if (!stopping_) {
         next.wait(io.waitScope);
       }
--- a/src/runtime/rpc_mac.cpp
+++ b/src/runtime/rpc_mac.cpp
@@ -101,12 +101,12 @@
     return RpcVerdict::BadMac;
   }
   const std::uint64_t sent = aStamp.unixMillis_;
-  const std::uint64_t apart =
+  const std::uint64_t difference =
     sent > aNowMillis ? sent - aNowMillis : aNowMillis - sent;
-  if (apart > kRpcWindowMillis) {
+  if (difference > kRpcWindowMillis) {
     return RpcVerdict::OutOfTime;
   }
-  Forget(aNowMillis);
+  RemoveOldNonces(aNowMillis);
   if (!nonces_.insert(aStamp.nonce_).second) {
     return RpcVerdict::Replayed;
   }
@@ -115,7 +115,7 @@
 }
 
 void
-RpcMac::Forget(std::uint64_t aNowMillis)
+RpcMac::RemoveOldNonces(std::uint64_t aNowMillis)
 {
   // A stamp from a clock ahead stays valid for two windows.
   while (!seen_.empty() &&
--- a/src/runtime/rpc_mailbox.cpp
+++ b/src/runtime/rpc_mailbox.cpp
@@ -14,7 +14,7 @@
 }
 
 kj::Promise<void>
-RpcMailbox::Next()
+RpcMailbox::RunPosted()
 {
   std::vector<std::function<void()>> tasks;
   auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
--- a/src/runtime/rpc_mailbox.hpp
+++ b/src/runtime/rpc_mailbox.hpp
@@ -9,13 +9,13 @@
 namespace marjoramtally {
 
 /// Tasks handed to the event loop's thread from others. `Post` is
-/// thread-safe; `Next` belongs to the loop's thread.
+/// thread-safe; `RunPosted` belongs to the loop's thread.
 class RpcMailbox
 {
 public:
   void Post(std::function<void()> aTask);
   /// Runs the tasks posted so far, then arms the next wake-up.
-  [[nodiscard]] kj::Promise<void> Next();
+  [[nodiscard]] kj::Promise<void> RunPosted();
 
 private:
   std::mutex mutex_;
--- a/src/runtime/trace.cpp
+++ b/src/runtime/trace.cpp
@@ -20,14 +20,14 @@
 RandomHex(std::size_t aDigits)
 {
   constexpr std::size_t kDigitBits = 4;
-  constexpr std::size_t kDigitsADraw = 16;
+  constexpr std::size_t kDigitsPerDraw = 16;
   static constexpr std::string_view kDigits = "0123456789abcdef";
   static thread_local Random random{ std::random_device{}() *
                                      std::uint64_t{ std::random_device{}() } };
   std::string out(aDigits, '0');
   std::uint64_t bits = 0;
   for (std::size_t i = 0; i < aDigits; ++i) {
-    bits = i % kDigitsADraw == 0 ? random.Next() : bits >> kDigitBits;
+    bits = i % kDigitsPerDraw == 0 ? random.Next() : bits >> kDigitBits;
     out[i] = kDigits[bits % kDigits.size()];
   }
   return out;
@@ -54,8 +54,8 @@
 std::optional<TraceContext>
 TraceContext::Parse(std::string_view aText) noexcept
 {
-  constexpr std::size_t kLength = 55;
-  if (aText.size() != kLength || !aText.starts_with("00-") ||
+  constexpr std::size_t kTraceparentLength = 55;
+  if (aText.size() != kTraceparentLength || !aText.starts_with("00-") ||
       aText[35] != '-' || aText[52] != '-') {
     return std::nullopt;
   }
--- a/src/runtime/watch_history.cpp
+++ b/src/runtime/watch_history.cpp
@@ -26,11 +26,11 @@
     known_ = std::max(*known_, event.record_.modRevision_);
     events_.push_back(event);
     bytes_ += BytesOf(event);
-    if (BytesOf(event) > kMostChangeBytes) {
+    if (BytesOf(event) > kMaxChangeBytes) {
       DropUpTo(event.record_.modRevision_);
     }
   }
-  while (events_.size() > kMost || bytes_ > kMostBytes) {
+  while (events_.size() > kMaxChanges || bytes_ > kMaxBytes) {
     DropUpTo(events_.front().record_.modRevision_);
   }
 }
@@ -55,7 +55,7 @@
 bool
 WatchHistory::Confirmed(TimePoint aNow) const noexcept
 {
-  return known_.has_value() && aNow - confirmed_ <= kConfirmedFor;
+  return known_.has_value() && aNow - confirmed_ <= kConfirmationLifetime;
 }
 
 bool
--- a/src/runtime/watch_messages.cpp
+++ b/src/runtime/watch_messages.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 /// Longer waits and ages are cut to this.
-constexpr std::uint32_t kMostWaitMillis = 60'000;
+constexpr std::uint32_t kMaxWaitMillis = 60'000;
 
 /// Smaller messages are not deflated.
-constexpr std::size_t kPackFrom = 1024;
+constexpr std::size_t kMinDeflatedBytes = 1024;
 /// Records of one kind are much alike, so the fastest level does.
-constexpr int kPackLevel = Z_BEST_SPEED;
+constexpr int kDeflateLevel = Z_BEST_SPEED;
 /// Largest message that is inflated, in bytes; relays keep less.
-constexpr std::uint32_t kMostUnpacked = 8U * 1024U * 1024U;
+constexpr std::uint32_t kMaxInflatedBytes = 8U * 1024U * 1024U;
 
 std::uint32_t
 ToMillis(Duration aDuration)
 {
   return static_cast<std::uint32_t>(
-    std::clamp<std::int64_t>(WholeMillis(aDuration), 0, kMostWaitMillis));
+    std::clamp<std::int64_t>(WholeMillis(aDuration), 0, kMaxWaitMillis));
 }
 
 void
@@ -73,7 +73,7 @@
 
 /// @returns the message around a deflated one; empty if it cannot be deflated
 std::string
-Pack(const std::string& aPlain)
+Deflate(const std::string& aPlain)
 {
   uLongf size = compressBound(aPlain.size());
   std::vector<Bytef> packed(size);
@@ -81,7 +81,7 @@
                 &size,
                 reinterpret_cast<const Bytef*>(aPlain.data()),
                 aPlain.size(),
-                kPackLevel) != Z_OK) {
+                kDeflateLevel) != Z_OK) {
     return {};
   }
   capnp::MallocMessageBuilder builder;
@@ -92,10 +92,10 @@
 }
 
 Result<std::string>
-Unpack(wire::WatchChanges::Reader aIn)
+Inflate(wire::WatchChanges::Reader aIn)
 {
   const auto packed = aIn.getPacked();
-  if (aIn.getUnpackedBytes() > kMostUnpacked) {
+  if (aIn.getUnpackedBytes() > kMaxInflatedBytes) {
     return Error{ ErrorKind::BadInput, "message of a wrong length" };
   }
   std::string plain(aIn.getUnpackedBytes(), '\0');
@@ -141,7 +141,7 @@
 {
   return impl::ReadMessage<wire::WatchAsk, WatchAsk>(
     aBytes, [](wire::WatchAsk::Reader aIn) -> Result<WatchAsk> {
-      const std::uint32_t wait = std::min(aIn.getWaitMs(), kMostWaitMillis);
+      const std::uint32_t wait = std::min(aIn.getWaitMs(), kMaxWaitMillis);
       return WatchAsk{ aIn.getPrefix().cStr(),
                        aIn.getAfter(),
                        std::chrono::milliseconds(wait),
@@ -153,10 +153,11 @@
 EncodeWatchBatch(const StoreWatchBatch& aBatch, bool aDeflated)
 {
   std::string plain = EncodePlain(aBatch);
-  if (!aDeflated || plain.size() < kPackFrom || plain.size() > kMostUnpacked) {
+  if (!aDeflated || plain.size() < kMinDeflatedBytes ||
+      plain.size() > kMaxInflatedBytes) {
     return plain;
   }
-  std::string packed = Pack(plain);
+  std::string packed = Deflate(plain);
   return packed.empty() ? plain : packed;
 }
 
@@ -168,7 +169,7 @@
       if (!aIn.hasPacked()) {
         return ReadPlain(aIn);
       }
-      const auto plain = Unpack(aIn);
+      const auto plain = Inflate(aIn);
       if (!plain) {
         return plain.error();
       }
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-const std::string kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const std::string kCompleteResponse =
+  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// A listener whose connections are served by a script on one thread.
 class RawServer
@@ -149,7 +150,7 @@
 {
   const int connection = aServer.Accept();
   aServer.Read(connection);
-  RawServer::Write(connection, kWhole);
+  RawServer::Write(connection, kCompleteResponse);
   return connection;
 }
 
@@ -211,7 +212,7 @@
     }
     const int third = aServer.Accept();
     aServer.Read(third);
-    RawServer::Write(third, kWhole);
+    RawServer::Write(third, kCompleteResponse);
     close(third);
   });
   CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Whole);
@@ -287,7 +288,7 @@
   RawServer server([&usedAgain](RawServer& aServer) {
     const int first = aServer.Accept();
     aServer.Read(first);
-    RawServer::Write(first, kWhole);
+    RawServer::Write(first, kCompleteResponse);
     // Ends with the connection or with a second request on it.
     aServer.Read(first);
     usedAgain = aServer.requests_ == 2;
@@ -295,7 +296,7 @@
     if (!usedAgain) {
       aServer.Read(second);
     }
-    RawServer::Write(second, kWhole);
+    RawServer::Write(second, kCompleteResponse);
     close(second);
   });
   const auto client = HttpClient::Create(1);
@@ -311,7 +312,7 @@
 {
   const auto client = HttpClient::Create(1);
   RawServer server(
-    AnswerOnce("HTTP/1.1 100 Continue\r\nA: b\r\n\r\n" + kWhole));
+    AnswerOnce("HTTP/1.1 100 Continue\r\nA: b\r\n\r\n" + kCompleteResponse));
   std::vector<int> heads;
   HttpCall call = Post(server);
   call.onHead_ = [&heads](int aStatus, const HttpHeaders& aHeaders) {
@@ -331,7 +332,7 @@
     const int first = AnswerThenClose(aServer);
     const int second = wanted ? aServer.Accept() : first;
     aServer.Read(second);
-    RawServer::Write(second, kWhole);
+    RawServer::Write(second, kCompleteResponse);
     close(second);
     if (wanted) {
       close(first);
@@ -366,7 +367,7 @@
       aServer.Read(connection);
       // So that the client has to wait for the answer.
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
-      RawServer::Write(connection, kWhole);
+      RawServer::Write(connection, kCompleteResponse);
     }
     close(connection);
   });
@@ -399,7 +400,7 @@
   const auto client = HttpClient::Create(1);
   HttpCall call = Post(server);
   call.timeout_ = std::chrono::seconds(20);
-  call.silence_ = std::chrono::seconds(1);
+  call.idleTimeout_ = std::chrono::seconds(1);
   const HttpResult result = SendAndWait(*client, std::move(call));
   if (stops) {
     CHECK(result.end_ == HttpEnd::TimedOut);
@@ -420,6 +421,6 @@
   const auto client = HttpClient::Create(1);
   HttpCall call = Post(server);
   call.timeout_ = std::chrono::seconds(20);
-  call.silence_ = std::chrono::milliseconds(100);
+  call.idleTimeout_ = std::chrono::milliseconds(100);
   CHECK(SendAndWait(*client, std::move(call)).end_ == HttpEnd::TimedOut);
 }
--- a/tests/test_silence_limit.cpp
+++ b/tests/test_idle_timeout.cpp
@@ -1,4 +1,4 @@
-#include "runtime/silence_limit.hpp"
+#include "runtime/idle_timeout.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 
 TEST_CASE("a call is over its silence when no byte came in time")
 {
-  SilenceLimit limit{ 1s };
+  IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
   REQUIRE(limit.DueAt() == kStart + 1s);
   REQUIRE_FALSE(limit.Check(kStart + 999ms));
@@ -22,7 +22,7 @@
 
 TEST_CASE("a byte gives a call its whole time again")
 {
-  SilenceLimit limit{ 1s };
+  IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
   limit.OnByte(kStart + 900ms);
   REQUIRE_FALSE(limit.Check(kStart + 1s));
@@ -33,7 +33,7 @@
 // came 0.3 s apart: it took its own standstill for its peer's silence.
 TEST_CASE("a process that was held up does not count that as silence")
 {
-  SilenceLimit limit{ 1s };
+  IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
   // Stopped from 0.5 s on.
   REQUIRE_FALSE(limit.Check(kStart + 2s));
@@ -51,5 +51,5 @@
 
 TEST_CASE("a call without a limit is not limited")
 {
-  REQUIRE_FALSE(SilenceLimit{}.Limited());
+  REQUIRE_FALSE(IdleTimeout{}.Limited());
 }
--- a/tests/test_log_story.cpp
+++ b/tests/test_log_explanation.cpp
@@ -1,6 +1,6 @@
 /// From an id to the cause of its end, by the logs alone.
 
-#include "marjoramtally/runtime/log_story.hpp"
+#include "marjoramtally/runtime/log_explanation.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -19,10 +19,10 @@
 }
 
 bool
-Tells(const LogStory& aStory, std::string_view aPart)
+HasFinding(const LogExplanation& aExplanation, std::string_view aPart)
 {
-  return std::any_of(aStory.findings_.begin(),
-                     aStory.findings_.end(),
+  return std::any_of(aExplanation.findings_.begin(),
+                     aExplanation.findings_.end(),
                      [&](const std::string& aFinding) {
                        return aFinding.find(aPart) != std::string::npos;
                      });
@@ -47,7 +47,7 @@
 
 TEST_CASE("a request that failed leads to the upstream that failed others")
 {
-  const LogStory story = TellStory(
+  const LogExplanation explanation = ExplainFromLogs(
     { Line("10.000", "g1", "event=attempt_failed id=r1 upstream=u1 sent=yes"),
       Line("10.001",
            "g1",
@@ -59,13 +59,13 @@
       Line("09.600", "g1", "event=job_claimed job=j7 last_owner=g9"),
       Line("01.000", "g2", "event=attempt_failed id=r4 upstream=u1 sent=yes") },
     "r1");
-  CHECK(story.own_.size() == 2);
-  CHECK(story.around_.size() == 2);
-  CHECK(Tells(story, "answered 502"));
-  CHECK(Tells(story, "no upstream gave a whole answer"));
-  CHECK(Tells(story, "upstream u1 failed 1 other calls"));
-  CHECK(Tells(story, "registration of upstream u1 vanished"));
-  CHECK_FALSE(Tells(story, "took its job over"));
+  CHECK(explanation.ownLines_.size() == 2);
+  CHECK(explanation.relatedLines_.size() == 2);
+  CHECK(HasFinding(explanation, "answered 502"));
+  CHECK(HasFinding(explanation, "no upstream gave a whole answer"));
+  CHECK(HasFinding(explanation, "upstream u1 failed 1 other calls"));
+  CHECK(HasFinding(explanation, "registration of upstream u1 vanished"));
+  CHECK_FALSE(HasFinding(explanation, "took its job over"));
 }
 
 TEST_CASE("a refusal is told apart, with what its process had lost")
@@ -77,20 +77,20 @@
          "g1",
          "event=request_given_up id=r1 status=503 why=\"no upstream\""),
   };
-  const LogStory story = TellStory(lines, "r1");
-  CHECK(Tells(story, "refused; no upstream ran it"));
-  CHECK(Tells(story, "g1 had lost its connection to store"));
-  CHECK_FALSE(Tells(story, "g2"));
+  const LogExplanation explanation = ExplainFromLogs(lines, "r1");
+  CHECK(HasFinding(explanation, "refused; no upstream ran it"));
+  CHECK(HasFinding(explanation, "g1 had lost its connection to store"));
+  CHECK_FALSE(HasFinding(explanation, "g2"));
 
   auto regained = lines;
   regained.push_back(
     Line("08.000", "g1", "event=dependency_regained dependency=store"));
-  CHECK_FALSE(Tells(TellStory(regained, "r1"), "had lost"));
+  CHECK_FALSE(HasFinding(ExplainFromLogs(regained, "r1"), "had lost"));
 }
 
 TEST_CASE("an errored item leads over the owners of its job")
 {
-  const LogStory story = TellStory(
+  const LogExplanation explanation = ExplainFromLogs(
     { Line("12.000", "g2", "event=job_claimed job=j1 last_owner=g1~1"),
       Line("10.000", "g1", "event=score_failed item=i1 job=j1 status=500"),
       Line("16.000", "g2", "event=score_failed item=i1 job=j1 status=500"),
@@ -98,38 +98,41 @@
            "g2",
            "event=item_errored item=i1 job=j1 why=\"its scorer failed\"") },
     "i1");
-  CHECK(story.own_.size() == 3);
-  CHECK(Tells(story, "the item was given up (why: its scorer failed), at g2"));
-  CHECK(Tells(story, "took its job over"));
+  CHECK(explanation.ownLines_.size() == 3);
+  CHECK(HasFinding(explanation,
+                   "the item was given up (why: its scorer failed), at g2"));
+  CHECK(HasFinding(explanation, "took its job over"));
 }
 
 TEST_CASE("an item whose run was held up by a change of weights")
 {
-  const LogStory story = TellStory(
+  const LogExplanation explanation = ExplainFromLogs(
     { Line("10.000", "o1", "event=order_sent upstream=u1 model=m version=4"),
       Line("11.600", "g1", "event=run_silent item=i1 upstream=u1 events=3") },
     "i1");
-  CHECK(Tells(story, "the last run seen had gone silent"));
-  CHECK(Tells(story, "upstream u1 was ordered to change its weights"));
-  CHECK(Tells(story, "1 of its attempts were given up for slowness"));
+  CHECK(HasFinding(explanation, "the last run seen had gone silent"));
+  CHECK(
+    HasFinding(explanation, "upstream u1 was ordered to change its weights"));
+  CHECK(
+    HasFinding(explanation, "1 of its attempts were given up for slowness"));
 }
 
 TEST_CASE("an id that no line names, and lines that are none")
 {
-  const LogStory story =
-    TellStory({ "garbage", Line("10.000", "g1", "event=started") }, "r9");
-  CHECK(story.own_.empty());
-  CHECK(story.lines_ == 2);
-  CHECK(story.unread_ == 1);
-  CHECK(Tells(story, "no line names this id"));
+  const LogExplanation explanation =
+    ExplainFromLogs({ "garbage", Line("10.000", "g1", "event=started") }, "r9");
+  CHECK(explanation.ownLines_.empty());
+  CHECK(explanation.linesRead_ == 2);
+  CHECK(explanation.unparsed_ == 1);
+  CHECK(HasFinding(explanation, "no line names this id"));
 }
 
 TEST_CASE("lines that were left out are told as a gap")
 {
-  const LogStory story =
-    TellStory({ Line("10.000", "g1", "event=attempt_failed id=r1 upstream=u1"),
-                "level=WARN instance=g1 event=log_lines_left_out count=7" },
-              "r1");
-  CHECK(Tells(story, "lines were left out"));
-  CHECK(Tells(story, "no line tells its end"));
+  const LogExplanation explanation = ExplainFromLogs(
+    { Line("10.000", "g1", "event=attempt_failed id=r1 upstream=u1"),
+      "level=WARN instance=g1 event=log_lines_left_out count=7" },
+    "r1");
+  CHECK(HasFinding(explanation, "lines were left out"));
+  CHECK(HasFinding(explanation, "no line tells its end"));
 }
--- a/tests/test_log_limit.cpp
+++ b/tests/test_log_limit.cpp
@@ -15,10 +15,10 @@
   for (int i = 0; i < 3000; ++i) {
     admitted += limit.Admit(start) ? 1 : 0;
   }
-  REQUIRE(admitted == static_cast<int>(LogLimit::kBurst));
-  REQUIRE(limit.TakeLeftOut(start) == 0);
-  REQUIRE(limit.TakeLeftOut(start + 1s) == 2000);
-  REQUIRE(limit.TakeLeftOut(start + 1s) == 0);
+  REQUIRE(admitted == static_cast<int>(LogLimit::kBurstLines));
+  REQUIRE(limit.TakeDroppedCount(start) == 0);
+  REQUIRE(limit.TakeDroppedCount(start + 1s) == 2000);
+  REQUIRE(limit.TakeDroppedCount(start + 1s) == 0);
   REQUIRE(limit.Admit(start + 1s));
 }
 
@@ -30,11 +30,11 @@
   while (buffer.Put(line)) {
     held += line.size();
   }
-  REQUIRE(held <= LogBuffer::kMostBytes);
+  REQUIRE(held <= LogBuffer::kMaxBytes);
   REQUIRE(buffer.Front().size() == held);
-  buffer.Drop(1500);
+  buffer.Consume(1500);
   REQUIRE(buffer.Front().size() == held - 1500);
   REQUIRE(buffer.Put(line));
-  buffer.Drop(held);
+  buffer.Consume(held);
   REQUIRE(buffer.empty());
 }
--- a/tests/test_relays.cpp
+++ b/tests/test_relays.cpp
@@ -259,7 +259,7 @@
   REQUIRE(history.After(5).events_.size() == 1);
   REQUIRE(history.After(7).events_.empty());
   REQUIRE(history.After(7).revision_ == 8);
-  history.Lose();
+  history.Invalidate();
   REQUIRE_FALSE(history.Confirmed(start + 2s));
   REQUIRE_FALSE(history.Covers(8));
 }
@@ -268,7 +268,7 @@
 {
   WatchHistory history;
   history.Start(0, {});
-  for (std::uint64_t i = 1; i <= WatchHistory::kMost + 10; ++i) {
+  for (std::uint64_t i = 1; i <= WatchHistory::kMaxChanges + 10; ++i) {
     history.Append({ false, false, i, { MakeEvent("k", i) } }, {});
   }
   REQUIRE_FALSE(history.Covers(9));
@@ -285,8 +285,8 @@
     history.Append({ false, false, aRevision, { event } }, {});
   };
   // Value size of the largest change that is kept; its key has one byte.
-  constexpr std::size_t kLargest = WatchHistory::kMostChangeBytes - 1;
-  constexpr std::uint64_t kFit = WatchHistory::kMostBytes / (kLargest + 1);
+  constexpr std::size_t kLargest = WatchHistory::kMaxChangeBytes - 1;
+  constexpr std::uint64_t kFit = WatchHistory::kMaxBytes / (kLargest + 1);
   for (std::uint64_t i = 1; i <= kFit; ++i) {
     append(i, kLargest);
   }
@@ -508,7 +508,7 @@
 TEST_CASE("a change too large for relays is read by each process itself")
 {
   const std::size_t bytes =
-    GENERATE(100UL * 1024UL, WatchHistory::kMostBytes + 1);
+    GENERATE(100UL * 1024UL, WatchHistory::kMaxBytes + 1);
   TwoProcesses two;
   two.Start();
   two.timers_.Advance(100ms);
--- a/tests/test_rpc_links.cpp
+++ b/tests/test_rpc_links.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 /// Accepts connections and never answers on them.
-class SilentPeer
+class UnresponsivePeer
 {
 public:
-  SilentPeer()
+  UnresponsivePeer()
   {
     const LoopbackListener listener = ListenOnLoopback(8);
     listener_ = listener.socket_;
@@ -34,7 +34,7 @@
     });
   }
 
-  ~SilentPeer()
+  ~UnresponsivePeer()
   {
     shutdown(listener_, SHUT_RDWR);
     thread_.join();
@@ -57,7 +57,7 @@
 
 TEST_CASE("after a call that took too long the next opens a new connection")
 {
-  SilentPeer peer;
+  UnresponsivePeer peer;
   auto node = RpcNode::Start(
     "127.0.0.1", 0, [](const RpcCall&, const RpcDone& aDone) { aDone(""); });
   REQUIRE(node);
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -15,7 +15,7 @@
 using namespace marjoramtally;
 
 /// Ends a test that hangs; no test depends on it.
-constexpr auto kHangLimit = std::chrono::seconds(20);
+constexpr auto kHangTimeout = std::chrono::seconds(20);
 
 /// A folder of its own, removed at the end.
 class TempFolder
@@ -58,7 +58,7 @@
   PlatformStore& operator=(const PlatformStore&) = delete;
 
   /// Asks the stand-in for something that it does at once.
-  void Ask(const std::string& aFaults)
+  void RequestFault(const std::string& aFaults)
   {
     HttpCall call;
     call.method_ = "POST";
@@ -103,7 +103,7 @@
   auto promise = std::make_shared<std::promise<Result<T>>>();
   auto future = promise->get_future();
   aCall([promise](Result<T> aResult) { promise->set_value(aResult); });
-  REQUIRE(future.wait_for(kHangLimit) == std::future_status::ready);
+  REQUIRE(future.wait_for(kHangTimeout) == std::future_status::ready);
   return future.get();
 }
 
@@ -156,8 +156,8 @@
   return txn;
 }
 
-/// Keeps what a watch is told.
-class Told
+/// Keeps what a watch is recorder.
+class WatchRecorder
 {
 public:
   void Take(const StoreWatchBatch& aBatch)
@@ -175,13 +175,13 @@
   {
     std::unique_lock lock(mutex_);
     changed_.wait_for(
-      lock, kHangLimit, [&] { return events_.size() >= aEvents; });
+      lock, kHangTimeout, [&] { return events_.size() >= aEvents; });
     return events_;
   }
   bool WaitForEnd()
   {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kHangLimit, [&] { return ended_; });
+    return changed_.wait_for(lock, kHangTimeout, [&] { return ended_; });
   }
 
 private:
@@ -192,7 +192,7 @@
 };
 
 std::function<void(const StoreWatchBatch&)>
-Into(const std::shared_ptr<Told>& aTold)
+Into(const std::shared_ptr<WatchRecorder>& aTold)
 {
   return [aTold](const StoreWatchBatch& aBatch) { aTold->Take(aBatch); };
 }
@@ -259,14 +259,14 @@
   REQUIRE(Put(store, "/w/a", "1").value().applied_);
   const auto second = Put(store, "/w/b", "1").value();
   REQUIRE(Put(store, "/other", "1").value().applied_);
-  auto told = std::make_shared<Told>();
-  const auto watch = store.Watch("/w/", second.revision_, Into(told));
-  CHECK(told->WaitFor(1) == std::vector<std::string>{ "+/w/b" });
+  auto recorder = std::make_shared<WatchRecorder>();
+  const auto watch = store.Watch("/w/", second.revision_, Into(recorder));
+  CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/w/b" });
   StoreTxn txn;
   txn.deletes_.emplace_back("/w/a");
   REQUIRE(Commit(store, txn).value().applied_);
   REQUIRE(Put(store, "/w/c", "1").value().applied_);
-  CHECK(told->WaitFor(3) ==
+  CHECK(recorder->WaitFor(3) ==
         std::vector<std::string>{ "+/w/b", "-/w/a", "+/w/c" });
   store.StopWatch(watch);
 }
@@ -295,10 +295,10 @@
   // Another process of the machine.
   auto other = OpenEmbeddedStore(any.folder_.path_, any.clock_).value();
   CHECK_FALSE(Commit(*other, CreateOnce("/claim/a", "two")).value().applied_);
-  auto told = std::make_shared<Told>();
-  (void)other->Watch("/w/", first.value().revision_, Into(told));
+  auto recorder = std::make_shared<WatchRecorder>();
+  (void)other->Watch("/w/", first.value().revision_, Into(recorder));
   REQUIRE(Put(*any.store_, "/w/a", "1").value().applied_);
-  CHECK(told->WaitFor(1) == std::vector<std::string>{ "+/w/a" });
+  CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/w/a" });
   other.reset();
   any.embedded_.reset();
   // After a restart of the machine its clock starts anew: the lease has no
@@ -315,7 +315,7 @@
 {
   PlatformStore platform;
   Store& store = *platform.store_;
-  platform.Ask(R"({"lose_next":1})");
+  platform.RequestFault(R"({"lose_next":1})");
   const auto lost = Commit(store, CreateOnce("/claim/a", "token-1"));
   REQUIRE_FALSE(lost);
   CHECK(lost.error().kind_ != ErrorKind::Unavailable);
@@ -326,9 +326,10 @@
 {
   PlatformStore platform;
   Store& store = *platform.store_;
-  platform.Ask(GENERATE(R"({"down":"refuse"})", R"({"down":"silent"})"));
+  platform.RequestFault(
+    GENERATE(R"({"down":"refuse"})", R"({"down":"silent"})"));
   CHECK_FALSE(Put(store, "/a", "1"));
-  platform.Ask("{}");
+  platform.RequestFault("{}");
   CHECK(Read(store, "/a").records_.empty());
 }
 
@@ -337,14 +338,14 @@
   PlatformStore platform;
   Store& store = *platform.store_;
   REQUIRE(Put(store, "/a", "1").value().applied_);
-  platform.Ask(R"({"save":true})");
+  platform.RequestFault(R"({"save":true})");
   const auto later = Put(store, "/b", "1").value();
-  auto told = std::make_shared<Told>();
-  (void)store.Watch("/", later.revision_, Into(told));
-  // The watch is open once it has told of the last write.
-  CHECK(told->WaitFor(1) == std::vector<std::string>{ "+/b" });
-  platform.Ask(R"({"restore":true})");
-  CHECK(told->WaitForEnd());
+  auto recorder = std::make_shared<WatchRecorder>();
+  (void)store.Watch("/", later.revision_, Into(recorder));
+  // The watch is open once it has recorder of the last write.
+  CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/b" });
+  platform.RequestFault(R"({"restore":true})");
+  CHECK(recorder->WaitForEnd());
   const StoreRange range = Read(store, "/");
   CHECK(range.records_.size() == 1);
   CHECK(range.revision_ < later.revision_);
--- a/tests/test_watch_messages.cpp
+++ b/tests/test_watch_messages.cpp
@@ -79,15 +79,15 @@
   for (std::uint64_t i = 1; i <= 20; ++i) {
     batch.events_.push_back(MakeUpstreamChange(i));
   }
-  const std::string whole = EncodeWatchBatch(batch);
-  REQUIRE(DecodeWatchBatch(whole));
+  const std::string encoded = EncodeWatchBatch(batch);
+  REQUIRE(DecodeWatchBatch(encoded));
   constexpr std::size_t kWord = 8;
-  REQUIRE_FALSE(DecodeWatchBatch(whole.substr(0, whole.size() - kWord)));
-  for (std::size_t at = 0; at < whole.size(); ++at) {
-    std::string spoilt = whole;
-    spoilt[at] = static_cast<char>(~spoilt[at]);
-    const auto read = DecodeWatchBatch(spoilt);
+  REQUIRE_FALSE(DecodeWatchBatch(encoded.substr(0, encoded.size() - kWord)));
+  for (std::size_t at = 0; at < encoded.size(); ++at) {
+    std::string corrupted = encoded;
+    corrupted[at] = static_cast<char>(~corrupted[at]);
+    const auto read = DecodeWatchBatch(corrupted);
     CAPTURE(at);
-    REQUIRE((!read || EncodeWatchBatch(read.value()) == whole));
+    REQUIRE((!read || EncodeWatchBatch(read.value()) == encoded));
   }
 }
