--- a/include/marjoramtally/runtime.hpp
+++ b/include/marjoramtally/runtime.hpp
@@ -1,4 +1,5 @@
-/// Public header of the runtime library: sockets, threads, logs, store.
+/// Public header of the runtime library: sockets, threads, HTTP, RPC, logging,
+/// metrics and stores.
 #pragma once
 
 #include "marjoramtally/runtime/embedded_store.hpp"
--- a/include/marjoramtally/runtime/embedded_store.hpp
+++ b/include/marjoramtally/runtime/embedded_store.hpp
@@ -1,5 +1,5 @@
-/// A store for one machine with no platform: records in a data folder that
-/// the processes of the machine share.
+/// A store for a single machine without the platform: a file in a data
+/// directory that all processes of the machine share.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -10,9 +10,10 @@
 
 namespace marjoramtally {
 
-/// Opens the store's file in a folder, making it if there is none.
-/// @param aClock outlives the store; leases end by it
-/// @returns an error naming the file if it cannot be opened
+/// Opens the store's file in a directory, and creates both if they do not
+/// exist.
+/// @param aClock must outlive the store; leases expire by it
+/// @returns an error that names the file if it cannot be opened
 [[nodiscard]] Result<std::unique_ptr<Store>>
 OpenEmbeddedStore(const std::filesystem::path& aFolder, const Clock& aClock);
 
--- a/include/marjoramtally/runtime/etcd_store.hpp
+++ b/include/marjoramtally/runtime/etcd_store.hpp
@@ -1,4 +1,4 @@
-/// The platform's store, met through etcd v3's published JSON gateway.
+/// A store that is accessed through the JSON gateway of etcd v3.
 #pragma once
 
 #include "marjoramtally/runtime/http_client.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// @param aClient outlives the store
+/// @param aClient must outlive the store
 /// @param aUrl base address such as `http://127.0.0.1:2379`
 /// @param aTimeout time limit of each call
 [[nodiscard]] std::unique_ptr<Store>
--- a/include/marjoramtally/runtime/http_client.hpp
+++ b/include/marjoramtally/runtime/http_client.hpp
@@ -1,4 +1,4 @@
-/// An HTTP client that never blocks its caller.
+/// A non-blocking HTTP client.
 #pragma once
 
 #include "marjoramtally/runtime/http_types.hpp"
@@ -11,13 +11,13 @@
 /// How a call ended.
 enum class HttpEnd
 {
-  /// A whole response was received, proven by its length or last chunk.
+  /// The complete response was received, as its length or last chunk proves.
   Whole,
   /// No byte of the request left this process.
   NotSent,
-  /// Bytes were sent and no whole response came back.
+  /// Bytes were sent but no complete response was received.
   Broken,
-  /// The time limit passed after bytes were sent.
+  /// The time limit expired after bytes were sent.
   TimedOut,
   /// `Cancel` was called after bytes were sent.
   Cancelled,
@@ -31,44 +31,44 @@
   HttpHeaders headers_;
   std::string body_;
   Duration timeout_ = std::chrono::seconds(30);
-  /// The call ends as timed out when no byte of its answer came for so long;
-  /// 0: only `timeout_` ends it. A large answer over a busy link is slow, and
-  /// asking again would make the link busier.
+  /// The call times out if no byte of the response is received for this long;
+  /// 0: only `timeout_` applies. It allows a long `timeout_` for large
+  /// responses over a busy link, where a repeated request would add load.
   Duration idleTimeout_{ 0 };
-  /// Time limit for the connection alone.
+  /// Time limit for opening the connection.
   Duration connectTimeout_ = std::chrono::seconds(2);
-  /// Use a connection of its own, so that the library never sends twice.
+  /// Uses a separate connection, so that libcurl never sends the request twice.
   bool atMostOnce_ = false;
-  /// Use a connection that no call was sent on before.
+  /// Uses a connection that no call was sent on before.
   bool newConnection_ = false;
-  /// Called on a client thread for each piece of a body, if set; the result
-  /// then carries no body. Return false to cancel.
+  /// Called on a client thread for each piece of the body, if set; the result
+  /// then has no body. Returning false cancels the call.
   std::function<bool(std::string_view)> onData_;
-  /// Asked before each piece, if set; on false no more is received, and the
-  /// sender is held back, until `HttpClient::Resume`.
+  /// Called before each piece, if set. If it returns false, receiving pauses,
+  /// and so the sender is held back, until `HttpClient::Resume`.
   std::function<bool()> mayReceive_;
-  /// Called once with the head of an answer, before any piece, if set. Return
-  /// false if the answer is not believed: the call then ends as cancelled, and
-  /// its connection, on which the call's own answer may still come, is closed.
+  /// Called once with the head of the response, before any piece, if set.
+  /// Returning false rejects the response: the call ends as cancelled, and its
+  /// connection, on which the call's own response may still arrive, is closed.
   std::function<bool(int, const HttpHeaders&)> onHead_;
 };
 
-/// What came of a call.
+/// Result of a call.
 struct HttpResult
 {
   HttpEnd end_ = HttpEnd::NotSent;
   HttpResponse response_;
-  /// The library's message unless `end_` is `Whole`.
+  /// libcurl's error message unless `end_` is `Whole`.
   std::string message_;
-  /// Port of this end of the connection, which tells connections to one
-  /// address apart; 0 if there was none.
+  /// Local port of the connection, which distinguishes connections to the same
+  /// address; 0 if there was none.
   std::uint16_t localPort_ = 0;
-  /// The call was the first on its connection.
+  /// The call opened its connection.
   bool opened_ = false;
 };
 
 using HttpDone = std::function<void(HttpResult)>;
-/// Names a call in progress.
+/// Identifies a call in progress.
 using HttpCallId = std::uint64_t;
 
 /// Sends calls on the loops of a pool. Callbacks run on those loops, never
@@ -79,9 +79,9 @@
   /// @param aThreads number of sending threads
   [[nodiscard]] static std::unique_ptr<HttpClient> Create(
     std::uint32_t aThreads);
-  /// Sends on loops shared with a server: a call sent from one of them is
-  /// answered on the same one.
-  /// @param aPool stopped when the client is destroyed
+  /// Sends on loops shared with a server: a call sent from one of them
+  /// completes on the same loop.
+  /// @param aPool is stopped when the client is destroyed
   [[nodiscard]] static std::unique_ptr<HttpClient> Create(
     std::shared_ptr<IoPool> aPool);
 
@@ -90,11 +90,11 @@
   virtual HttpCallId Send(HttpCall aCall, HttpDone aDone) = 0;
   /// Ends a call early; its `aDone` still runs.
   virtual void Cancel(HttpCallId aId) = 0;
-  /// Goes on receiving after `mayReceive_` was false.
+  /// Resumes receiving after `mayReceive_` returned false.
   virtual void Resume(HttpCallId aId) = 0;
 };
 
-/// Blocking convenience for command-line tools.
+/// Sends a call and blocks until it has ended; for command-line tools.
 [[nodiscard]] HttpResult
 SendAndWait(HttpClient& aClient, HttpCall aCall);
 
--- a/include/marjoramtally/runtime/http_server.hpp
+++ b/include/marjoramtally/runtime/http_server.hpp
@@ -1,4 +1,4 @@
-/// An HTTP server on its own threads.
+/// An HTTP server on event loops.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -9,25 +9,26 @@
 
 namespace marjoramtally {
 
-/// The answer to one request. Exactly one of `Send` or `Begin…End` is used;
-/// all functions may be called from any thread.
+/// The response to one request. Either `Send` or `Begin`, `Chunk` and `End` is
+/// used. All functions are thread-safe.
 class HttpReply
 {
 public:
   virtual ~HttpReply() = default;
-  /// Sends a whole response.
+  /// Sends a complete response.
   virtual void Send(HttpResponse aResponse) = 0;
   /// Sends the head of a streamed response.
   virtual void Begin(int aStatus, HttpHeaders aHeaders) = 0;
   /// Sends one chunk.
-  /// @param aWritten called with false once the connection is lost
+  /// @param aWritten called with whether the chunk was written; false once the
+  /// connection is lost
   virtual void Chunk(std::string aData, std::function<void(bool)> aWritten) = 0;
-  /// Ends a streamed response. What a stream carried must itself prove
-  /// that it is whole (a final event), for an end after a failure looks
-  /// the same.
+  /// Ends a streamed response. The stream's content must itself prove that it
+  /// is complete (by a final event), because the end after a failure looks the
+  /// same.
   virtual void End() = 0;
-  /// Ends the response by closing its connection, so that a streamed one is
-  /// seen to be incomplete: its last chunk is missing.
+  /// Aborts the response by closing its connection, so that the caller sees a
+  /// streamed one as incomplete: its last chunk is missing.
   virtual void Abort() = 0;
   /// Calls the function once if the caller closes the connection before the
   /// response has ended.
@@ -37,13 +38,13 @@
 using HttpReplyPtr = std::shared_ptr<HttpReply>;
 using HttpHandler = std::function<void(HttpRequest, HttpReplyPtr)>;
 
-/// Where and how to listen.
+/// Options of a server.
 struct HttpServerOptions
 {
   std::string address_ = "127.0.0.1";
-  /// 0 takes a port from the kernel.
+  /// 0 lets the kernel choose a port.
   std::uint16_t port_ = 0;
-  /// Number of loops if no pool is given.
+  /// Number of loops to create if `pool_` is not set.
   std::uint32_t threads_ = 2;
   /// Loops to serve on; stopped when the server is destroyed.
   std::shared_ptr<IoPool> pool_;
@@ -55,8 +56,8 @@
 class HttpServer
 {
 public:
-  /// Binds and starts to serve.
-  /// @returns an error naming the address if it cannot be bound
+  /// Binds the address and starts to serve.
+  /// @returns an error that names the address if it cannot be bound
   [[nodiscard]] static Result<std::unique_ptr<HttpServer>> Start(
     HttpServerOptions aOptions,
     HttpHandler aHandler);
@@ -66,7 +67,7 @@
   /// Stops accepting connections; open ones are served with
   /// `Connection: close`.
   virtual void StopAccepting() = 0;
-  /// @returns requests received whose answer is not yet written
+  /// @returns the number of requests whose response is not yet written
   [[nodiscard]] virtual std::uint64_t InFlight() const noexcept = 0;
 };
 
--- a/include/marjoramtally/runtime/http_types.hpp
+++ b/include/marjoramtally/runtime/http_types.hpp
@@ -12,21 +12,21 @@
 
 namespace marjoramtally {
 
-/// One header field; names compare without regard to case.
+/// One header field. Names are case-insensitive.
 struct HttpHeader
 {
   std::string name_;
   std::string value_;
 };
 
-/// Header fields in their order on the wire.
+/// Header fields in wire order.
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// @returns the value of the first field of that name, if any
+/// @returns the value of the first field with that name, if any
 [[nodiscard]] std::optional<std::string_view>
 FindHeader(const HttpHeaders& aHeaders, std::string_view aName) noexcept;
 
-/// A whole request as received.
+/// A complete request as received.
 struct HttpRequest
 {
   std::string method_;
@@ -37,7 +37,7 @@
   std::string body_;
 };
 
-/// A whole response.
+/// A complete response.
 struct HttpResponse
 {
   int status_ = 200;
@@ -49,7 +49,7 @@
 [[nodiscard]] HttpResponse
 JsonResponse(int aStatus, std::string aBody);
 
-/// @returns `{"error":{"kind":…,"message":…}}` with the status
+/// @returns a response with the body `{"error":{"kind":…,"message":…}}`
 [[nodiscard]] HttpResponse
 ErrorResponse(int aStatus, std::string_view aKind, std::string_view aMessage);
 
--- a/include/marjoramtally/runtime/io_pool.hpp
+++ b/include/marjoramtally/runtime/io_pool.hpp
@@ -1,5 +1,5 @@
 /// Event loops that a server and a client can share, so that a request is
-/// received, sent on and answered on one thread.
+/// received, forwarded and answered on one thread.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -12,7 +12,7 @@
 
 class IoLoop;
 
-/// A fixed number of event loops, each on a thread of its own.
+/// A fixed number of event loops, each on its own thread.
 class IoPool
 {
 public:
@@ -21,13 +21,13 @@
   virtual ~IoPool() = default;
   [[nodiscard]] virtual std::size_t Size() const noexcept = 0;
   [[nodiscard]] virtual IoLoop& Loop(std::size_t aIndex) noexcept = 0;
-  /// @returns the index of the calling thread's loop; of the next in turn
-  /// if the caller runs on none
+  /// @returns the index of the calling thread's loop, or the next one in
+  /// round-robin order if the caller runs on none
   [[nodiscard]] virtual std::size_t Pick() noexcept = 0;
-  /// Runs a task on a loop's thread, soon.
+  /// Runs a task on a loop's thread later, also if called on that thread.
   virtual void Post(std::size_t aIndex, std::function<void()> aTask) = 0;
-  /// Ends all loops; what they had not yet run is dropped. Servers and
-  /// clients stop their pool when they are destroyed.
+  /// Stops all loops; tasks not yet run are dropped. Servers and clients stop
+  /// their pool when they are destroyed.
   virtual void Stop() = 0;
 };
 
--- a/include/marjoramtally/runtime/log.hpp
+++ b/include/marjoramtally/runtime/log.hpp
@@ -1,4 +1,4 @@
-/// Structured logs: one line of key=value pairs for each event.
+/// Structured logging: one line of key=value pairs for each event.
 #pragma once
 
 #include <initializer_list>
@@ -23,7 +23,7 @@
   std::string value_;
 };
 
-/// Where lines go.
+/// Where lines are written.
 enum class LogTarget
 {
   Error,
@@ -31,14 +31,15 @@
   Output,
 };
 
-/// @returns a level by its name: debug, info, warn or error
+/// @returns the level named debug, info, warn or error; nullopt for any other
+/// name
 [[nodiscard]] std::optional<LogLevel>
 ParseLogLevel(std::string_view aName) noexcept;
 
 /// Sets up logging.
 /// @param aProgram the value of each line's `program=`
 /// @param aInstance the value of each line's `instance=`
-/// @param aLevel least level written
+/// @param aLevel minimum level that is written
 void
 InitLog(const std::string& aProgram,
         const std::string& aInstance,
--- a/include/marjoramtally/runtime/log_explanation.hpp
+++ b/include/marjoramtally/runtime/log_explanation.hpp
@@ -1,5 +1,4 @@
-/// The way of one request through the logs: from its id to the cause of its
-/// end.
+/// Explains from the logs how a request, job or item ended and why.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -14,41 +13,41 @@
 
 namespace marjoramtally {
 
-/// One line of a log as the daemons write it.
+/// One parsed log line of a daemon.
 struct LogLine
 {
-  /// Since 1970; that of the line before where a line has none.
+  /// Time since 1970; a line without a time has that of the line before.
   Duration time_{ 0 };
   std::string text_;
   std::map<std::string, std::string, std::less<>> fields_;
 
-  /// @returns the field's value; empty if there is none
+  /// @returns the field's value, or an empty string if there is none
   [[nodiscard]] std::string_view Field(std::string_view aName) const;
   [[nodiscard]] std::string_view Event() const { return Field("event"); }
 };
 
-/// @returns the line's pairs; nothing if it has no event. What stands in
-/// front of the pairs, as collectors of logs add it, is passed over.
+/// Parses the key=value pairs of a line. Text before them, as log collectors
+/// add it, is skipped.
+/// @returns nullopt if the line has no event
 [[nodiscard]] std::optional<LogLine>
 ParseLogLine(std::string_view aText);
 
-/// What the logs tell of one id.
+/// What the logs report about one id.
 struct LogExplanation
 {
-  /// Lines that name the id, in order of time.
+  /// Lines that name the id, ordered by time.
   std::vector<LogLine> ownLines_;
-  /// Lines of the same processes and upstreams around that time that bear on
-  /// it.
+  /// Lines about the same processes, upstreams and jobs around that time.
   std::vector<LogLine> relatedLines_;
-  /// One sentence each: how it ended, and what led there.
+  /// One sentence each: how the request ended, and possible causes.
   std::vector<std::string> findings_;
-  /// Lines read, and those that were no line of a daemon.
+  /// Lines read, and those of them that are not log lines of a daemon.
   std::uint64_t linesRead_ = 0;
   std::uint64_t unparsed_ = 0;
 };
 
-/// @param aLines all lines of the logs, of any processes, in any order
-/// @param aId id of a caller's attempt, of a job or of an item
+/// @param aLines all log lines, of any processes and in any order
+/// @param aId id of a caller's attempt, a job or an item
 [[nodiscard]] LogExplanation
 ExplainFromLogs(const std::vector<std::string>& aLines, std::string_view aId);
 
--- a/include/marjoramtally/runtime/log_limit.hpp
+++ b/include/marjoramtally/runtime/log_limit.hpp
@@ -1,5 +1,5 @@
-/// Bounds on what a process logs, so that logging neither waits for a slow
-/// reader nor grows without end under load.
+/// Limits on what a process logs, so that logging neither blocks on a slow
+/// reader nor grows without bound under load.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,14 +11,15 @@
 
 namespace marjoramtally {
 
-/// Admits lines at a bounded rate and counts what was left out.
+/// Limits the rate of lines and counts those dropped.
 class LogLimit
 {
 public:
-  /// Lines a second: 40 KB at 200 bytes a line, a tenth of what the smallest
-  /// instances' links carry in that time.
+  /// 40 KB/s at 200 bytes per line, a tenth of the link bandwidth of the
+  /// smallest instances.
   static constexpr double kLinesPerSecond = 200;
-  /// Lines at once: a restart or a failover of a large job.
+  /// Lines admitted in a burst: enough for a restart or a failover of a large
+  /// job.
   static constexpr double kBurstLines = 1000;
 
   /// @returns whether a line may be written now
@@ -35,11 +36,11 @@
     return true;
   }
 
-  /// A line was not written.
+  /// Counts a line that was not written.
   void CountDropped() noexcept { ++dropped_; }
 
-  /// @returns how many lines were left out since this was last told; 0 while
-  /// still more are
+  /// @returns the number of lines dropped since the last call that returned
+  /// one; 0 while lines are still being dropped
   [[nodiscard]] std::uint64_t TakeDroppedCount(TimePoint aNow) noexcept
   {
     const double seconds = std::chrono::duration<double>(aNow - last_).count();
@@ -57,14 +58,15 @@
   std::uint64_t dropped_ = 0;
 };
 
-/// Lines that the reader has not taken yet.
+/// Buffer of lines that the reader has not yet accepted.
 class LogBuffer
 {
 public:
-  /// Most bytes held.
+  /// Capacity in bytes.
   static constexpr std::size_t kMaxBytes = 256U * 1024U;
 
-  /// @returns whether there was room; else nothing is held of the line
+  /// Appends a line.
+  /// @returns false if there is no room; the line is then dropped completely
   [[nodiscard]] bool Put(std::string_view aLine)
   {
     if (bytes_.size() - written_ + aLine.size() > kMaxBytes) {
@@ -77,12 +79,12 @@
   {
     return written_ == bytes_.size();
   }
-  /// @returns what is to be written next
+  /// @returns the bytes to be written next
   [[nodiscard]] std::string_view Front() const noexcept
   {
     return std::string_view(bytes_).substr(written_);
   }
-  /// The first bytes were written.
+  /// Removes the first bytes after they were written.
   void Consume(std::size_t aBytes)
   {
     written_ += std::min(aBytes, bytes_.size() - written_);
--- a/include/marjoramtally/runtime/loop_timers.hpp
+++ b/include/marjoramtally/runtime/loop_timers.hpp
@@ -1,4 +1,4 @@
-/// Timers of one loop, and a paused kind for tests.
+/// Timers of one event loop, and timers on a manual clock for tests.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,31 +11,31 @@
 
 class IoPool;
 
-/// Names a timer that was set.
+/// Identifies a timer.
 using LoopTimerId = std::uint64_t;
 
-/// Timers of one loop, which alone uses them.
+/// Timers of one event loop; used on its thread only.
 class LoopTimers
 {
 public:
-  /// One timer of the kernel serves all, and one that is cancelled causes no
+  /// Creates timers that share one kernel timer; a cancelled timer causes no
   /// wake-up of its own.
-  /// @param aPool outlives the timers
+  /// @param aPool must outlive the timers
   [[nodiscard]] static std::unique_ptr<LoopTimers> Create(IoPool& aPool,
                                                           std::size_t aIndex);
 
   virtual ~LoopTimers() = default;
   /// Runs a function once after a delay.
   virtual LoopTimerId After(Duration aDelay, std::function<void()> aTask) = 0;
-  /// Drops a timer; one that ran or was dropped is ignored.
+  /// Cancels a timer; no effect if it has run or was cancelled before.
   virtual void Cancel(LoopTimerId aTimer) = 0;
 };
 
-/// Timers of a paused clock: they run within `Advance`.
+/// Timers on a manual clock; they run within `Advance`.
 class ManualTimers final : public LoopTimers
 {
 public:
-  /// @param aClock outlives this
+  /// @param aClock must outlive this object
   explicit ManualTimers(ManualClock& aClock)
     : clock_(aClock)
   {
@@ -43,12 +43,13 @@
 
   LoopTimerId After(Duration aDelay, std::function<void()> aTask) override;
   void Cancel(LoopTimerId aTimer) override;
-  /// Moves the clock on, stopping at each timer that is due on the way.
+  /// Advances the clock, stopping at each timer that becomes due.
   void Advance(Duration aDelta);
   [[nodiscard]] std::size_t size() const noexcept { return tasks_.size(); }
 
 private:
-  /// Ids grow, so that timers due at once run in the order they were set.
+  /// Ids increase, so that timers due at the same time run in the order in
+  /// which they were set.
   using TimerKey = std::pair<TimePoint, LoopTimerId>;
 
   ManualClock& clock_;
--- a/include/marjoramtally/runtime/metrics.hpp
+++ b/include/marjoramtally/runtime/metrics.hpp
@@ -1,4 +1,4 @@
-/// Counters, gauges and summaries, exposed as text.
+/// Counters, gauges and summaries, rendered as text.
 #pragma once
 
 #include <atomic>
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// A count that only grows. Thread-safe, without a lock.
+/// A monotonic counter. Thread-safe and lock-free.
 class Counter
 {
 public:
@@ -25,7 +25,7 @@
   std::atomic<std::uint64_t> value_{ 0 };
 };
 
-/// Observations of one measure: count, mean, max, quantiles. Thread-safe.
+/// Count, mean, maximum and quantiles of observed values. Thread-safe.
 class Summary
 {
 public:
@@ -41,8 +41,7 @@
   std::unique_ptr<State> state_;
 };
 
-/// A registry of named measures. All functions may be called from any
-/// thread.
+/// A registry of named metrics. Thread-safe.
 class Metrics
 {
 public:
@@ -51,19 +50,19 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /// The counter of a name, for paths that count often: it stays where it is
-  /// as long as the registry.
+  /// Returns the counter of a name, for code that counts often. The reference
+  /// is valid for the registry's lifetime.
   [[nodiscard]] Counter& CounterOf(const std::string& aName);
-  /// The summary of a name, likewise.
+  /// Returns the summary of a name, valid for the registry's lifetime.
   [[nodiscard]] Summary& SummaryOf(const std::string& aName);
 
-  /// Adds to a counter. Names may carry labels: `requests{class="live"}`.
+  /// Adds to a counter. Names may have labels: `requests{class="live"}`.
   void Count(const std::string& aName, std::uint64_t aDelta = 1);
   /// Sets a gauge.
   void Set(const std::string& aName, double aValue);
-  /// Records one observation of a summary (count, mean, max, quantiles).
+  /// Records one observation of a summary.
   void Observe(const std::string& aName, double aValue);
-  /// @returns all measures in the usual text exposition format
+  /// @returns all metrics in the usual text exposition format
   [[nodiscard]] std::string Render() const;
 
 private:
--- a/include/marjoramtally/runtime/open_store.hpp
+++ b/include/marjoramtally/runtime/open_store.hpp
@@ -1,4 +1,4 @@
-/// Chooses the store's adapter by its address.
+/// Chooses the store's implementation by its address.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -9,13 +9,13 @@
 
 namespace marjoramtally {
 
-/// Addresses that start so name a folder for the embedded store; all others
-/// are URLs of the platform's store.
+/// Addresses with this prefix name a directory for the embedded store; all
+/// others are URLs of the platform's store.
 inline constexpr std::string_view kStoreFolderPrefix = "file:";
 
-/// @param aClient outlives the store
+/// @param aClient must outlive the store
 /// @param aTimeout time limit of each call to the platform's store
-/// @param aClock outlives the store
+/// @param aClock must outlive the store
 [[nodiscard]] Result<std::unique_ptr<Store>>
 OpenStore(const std::string& aAddress,
           HttpClient& aClient,
--- a/include/marjoramtally/runtime/platform.hpp
+++ b/include/marjoramtally/runtime/platform.hpp
@@ -1,6 +1,5 @@
-/// The users' platform as the daemons see it: names of header fields, places
-/// in the store and formats of bodies. An adapter implements it; it decides
-/// nothing.
+/// Interface to the users' platform: header names, keys in the store and
+/// message formats. An adapter implements it and contains no decisions.
 #pragma once
 
 #include "marjoramtally/base/result.hpp"
@@ -13,34 +12,34 @@
 
 namespace marjoramtally {
 
-/// Header fields as callers and upstreams spell them.
+/// Names of the header fields of callers and upstreams.
 struct WireNames
 {
-  /// Id of one attempt of a caller; upstreams repeat it.
+  /// Id of one attempt of a caller; upstreams repeat it in their response.
   std::string attempt_;
-  /// Milliseconds that whoever asks will still wait.
+  /// Milliseconds for which the sender of the request will still wait.
   std::string deadline_;
-  /// Proof that an answer is an upstream's own.
+  /// Proves that a response comes from the upstream.
   std::string signature_;
-  /// The incarnation that alone may run the request.
+  /// Only this incarnation of the upstream may run the request.
   std::string expectUpstream_;
-  /// In an answer: the upstream did not run the request.
+  /// In a response: the upstream did not run the request.
   std::string notRun_;
-  /// Id of the last event held, to go on after it.
+  /// Id of the last event received, to resume after it.
   std::string lastEvent_;
   /// Weight version at the start of a stream.
   std::string versions_;
-  /// The field that marks an event from which on a new version applies.
+  /// Field of an event from which on a new version applies.
   std::string versionField_;
   /// How long a read may be held open, in milliseconds.
   std::string wait_;
-  /// Urgency at the upstream, 0 is first.
+  /// Priority at the upstream; 0 is the highest.
   std::string urgency_;
-  /// In a request to an upstream: the customer whose request it is.
+  /// In a request to an upstream: the customer who sent it.
   std::string customer_;
 };
 
-/// Places in the platform's store that the platform writes.
+/// Keys and key prefixes in the store that the platform writes.
 struct StorePlaces
 {
   std::string config_;
@@ -49,14 +48,14 @@
   std::string retirements_;
 };
 
-/// A version that a trainer named for its model.
+/// The version that a trainer has set for its model.
 struct NamedVersion
 {
   std::string model_;
   WeightVersion version_;
 };
 
-/// A call about a job other than its submission.
+/// A request about a job other than its submission.
 struct JobQuery
 {
   enum class Verb
@@ -67,10 +66,10 @@
   };
   Verb verb_ = Verb::Read;
   JobId job_;
-  /// Position from which results are read.
+  /// Results after this position are returned.
   std::uint64_t after_ = 0;
   ItemId item_;
-  /// Who asks; empty: requests need no keys.
+  /// The customer who sends the request; empty if requests need no keys.
   CustomerId customer_;
 };
 
@@ -89,14 +88,15 @@
   WeightVersion version_;
   std::string holder_;
   FencingNumber fence_;
-  /// Orders that the upstream has accepted so far; a later one is refused.
+  /// Number of orders that the upstream is expected to have accepted; it
+  /// refuses this order if it has accepted others since.
   std::optional<std::uint64_t> expectedOrders_;
-  /// Runs in progress finish before the change; else they go on under the new
-  /// version.
+  /// Runs in progress finish before the change; otherwise they continue under
+  /// the new version.
   bool runsFinish_ = false;
 };
 
-/// What an upstream says of its orders and versions.
+/// An upstream's report of its orders and versions.
 struct OrderState
 {
   UpstreamStart start_;
@@ -105,14 +105,14 @@
   std::vector<ModelVersion> models_;
 };
 
-/// Which process calls the platform on behalf of all.
+/// The process that calls the platform on behalf of all.
 struct DutyCaller
 {
   std::string holder_;
   FencingNumber fence_;
 };
 
-/// What customers used in one window of time: requests that began to run.
+/// Requests of each customer that began to run in one window of time.
 struct UsageReport
 {
   /// The window's number.
@@ -120,17 +120,18 @@
   std::map<CustomerId, std::uint64_t> counts_;
 };
 
-/// An order for the number of upstreams of a service in an availability zone.
+/// An order to set the number of upstreams of a service in an availability
+/// zone.
 struct SupplyOrder
 {
   ServiceId service_;
   ZoneId zone_;
   std::uint32_t count_ = 0;
-  /// Upstreams that may be reclaimed.
+  /// Orders spot upstreams, which may be reclaimed.
   bool spot_ = false;
 };
 
-/// The adapter.
+/// Interface that the platform's adapter implements.
 class Platform
 {
 public:
@@ -140,7 +141,7 @@
 
   [[nodiscard]] virtual Result<RoutingConfig> ReadConfig(
     std::string_view aValue) const = 0;
-  /// @param aKey the record's whole key
+  /// @param aKey the record's full key
   [[nodiscard]] virtual Result<UpstreamEntry> ReadUpstream(
     std::string_view aKey,
     std::string_view aValue) const = 0;
@@ -163,7 +164,8 @@
   [[nodiscard]] virtual Result<OrderState> ReadReport(
     std::string_view aBody) const = 0;
 
-  /// Calls of a duty, to the platform's address for such calls.
+  /// Calls made by the holder of a duty, to the platform's address for such
+  /// calls.
   [[nodiscard]] virtual HttpCall MakeUsageCall(
     const std::string& aAddress,
     const DutyCaller& aCaller,
@@ -173,8 +175,8 @@
     const DutyCaller& aCaller,
     const SupplyOrder& aOrder) const = 0;
 
-  /// @returns the key and value that tell how the emptying of an instance
-  /// stands
+  /// @returns the key and value that report the progress of draining an
+  /// instance
   [[nodiscard]] virtual std::pair<std::string, std::string> RetireStatus(
     const InstanceId& aInstance,
     bool aCompleted) const = 0;
--- a/include/marjoramtally/runtime/program.hpp
+++ b/include/marjoramtally/runtime/program.hpp
@@ -1,4 +1,4 @@
-/// What every program does the same way: options, settings, signals.
+/// Functions common to all programs: options, settings, signals.
 #pragma once
 
 #include "marjoramtally/base/ini.hpp"
@@ -18,11 +18,11 @@
 inline constexpr int kExitFailed = 1;
 inline constexpr int kExitBadInput = 2;
 
-/// Reads a whole file.
+/// Reads a complete file.
 [[nodiscard]] Result<std::string>
 ReadFile(const std::filesystem::path& aPath);
 
-/// Writes a whole file by rename, so that readers see all or nothing.
+/// Writes a file atomically, by renaming a temporary one.
 [[nodiscard]] Result<bool>
 WriteFile(const std::filesystem::path& aPath, std::string_view aText);
 
@@ -35,15 +35,15 @@
 };
 
 /// Parses a daemon's command line.
-/// @param aPurpose what the daemon does, for `--help`
-/// @returns an exit code if the program is already done
+/// @param aPurpose description of the daemon, for `--help`
+/// @returns the options, or an exit code if the program is to end at once
 [[nodiscard]] std::variant<DaemonOptions, int>
 ParseDaemonOptions(int aArgc,
                    char** aArgv,
                    const std::string& aProgram,
                    std::string_view aPurpose);
 
-/// Reads a settings file into its document.
+/// Reads and parses a settings file.
 [[nodiscard]] Checked<IniDocument>
 LoadSettings(const std::string& aFile);
 
--- a/include/marjoramtally/runtime/rpc.hpp
+++ b/include/marjoramtally/runtime/rpc.hpp
@@ -1,4 +1,4 @@
-/// Calls between our own processes, over Cap'n Proto RPC.
+/// Calls between the system's processes, over Cap'n Proto RPC.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -12,7 +12,8 @@
 
 namespace marjoramtally {
 
-/// Which part of a process a call is for. Numbers are fixed on the wire.
+/// Selects the part of a process that handles a call. Numbers are fixed on the
+/// wire.
 enum class RpcTopic : std::uint16_t
 {
   /// Entry to control: one trainer operation.
@@ -35,7 +36,7 @@
   JobBody = 9,
   /// Gateway to gateway: a submission to accept and own.
   JobHandOn = 10,
-  /// Holder of the duty of reports to a gateway: counts of customers' use.
+  /// Holder of the reporting duty to a gateway: request counts of customers.
   Usage = 11,
 };
 
@@ -51,16 +52,17 @@
 
 using RpcReply = Result<std::string>;
 using RpcDone = std::function<void(RpcReply)>;
-/// Answers a call, at once or later, from any thread, exactly once.
+/// Handles a call; replies exactly once, at once or later, from any thread.
 using RpcHandler = std::function<void(RpcCall, RpcDone)>;
 
-/// Serves and makes calls on one thread of its own.
+/// Serves and makes calls on its own thread.
 class RpcNode
 {
 public:
-  /// @param aAddress IP number to listen on
-  /// @param aPort 0 takes a port from the kernel
-  /// @param aKeys shared keys, as `RpcMac` takes them; none: no proofs
+  /// @param aAddress IP address to listen on
+  /// @param aPort 0 lets the kernel choose a port
+  /// @param aKeys shared keys, as `RpcMac` takes them; calls are not
+  /// authenticated if empty
   [[nodiscard]] static Result<std::unique_ptr<RpcNode>> Start(
     const std::string& aAddress,
     std::uint16_t aPort,
@@ -69,9 +71,9 @@
 
   virtual ~RpcNode() = default;
   [[nodiscard]] virtual std::uint16_t Port() const noexcept = 0;
-  /// Calls a peer; `aDone` is called once on the node's thread, or not at
-  /// all if the node is destroyed before the answer.
-  /// `Unavailable` means that the call was not sent.
+  /// Calls a peer. `aDone` is called once on the node's thread, or not at all
+  /// if the node is destroyed before the reply. `Unavailable` means that the
+  /// call was not sent.
   virtual void Call(const std::string& aPeer, RpcCall aCall, RpcDone aDone) = 0;
 };
 
--- a/include/marjoramtally/runtime/send_window.hpp
+++ b/include/marjoramtally/runtime/send_window.hpp
@@ -1,26 +1,27 @@
-/// Back-pressure of a streamed answer.
+/// Back-pressure for a streamed response.
 #pragma once
 
 #include <cstddef>
 
 namespace marjoramtally {
 
-/// Bytes that were passed on to a caller and that it has not taken yet. While
-/// there are too many, the sender is held back. Not thread-safe.
+/// Counts the bytes that were forwarded to a caller and not yet written to its
+/// connection. While there are too many, receiving from the sender pauses. Not
+/// thread-safe.
 class SendWindow
 {
 public:
-  /// With so many bytes not yet taken, no more are received: some thousand
-  /// events, and little beside the memory of one process.
+  /// Receiving pauses at this many bytes: some thousand events, and little
+  /// compared with the memory of the process.
   static constexpr std::size_t kMaxPendingBytes = 256U * 1024U;
-  /// Receiving goes on below this; the gap keeps from stopping and going on
-  /// at each event.
+  /// Receiving resumes below this; the gap avoids pausing and resuming at each
+  /// event.
   static constexpr std::size_t kResumeBelowBytes = kMaxPendingBytes / 2;
 
   void OnSent(std::size_t aBytes) noexcept { pendingBytes_ += aBytes; }
   void OnTaken(std::size_t aBytes) noexcept { pendingBytes_ -= aBytes; }
-  /// @returns whether more may be received now; if not, `TakeResume` tells
-  /// when
+  /// @returns whether more may be received now; if not, `TakeResume` reports
+  /// when it may
   [[nodiscard]] bool MayReceive() noexcept
   {
     paused_ = pendingBytes_ >= kMaxPendingBytes;
@@ -33,7 +34,7 @@
     paused_ = paused_ && !resume;
     return resume;
   }
-  /// A new sender has not been held back.
+  /// Clears the pause, for a new sender that has not been paused.
   void ClearPause() noexcept { paused_ = false; }
 
 private:
--- a/include/marjoramtally/runtime/store.hpp
+++ b/include/marjoramtally/runtime/store.hpp
@@ -1,4 +1,4 @@
-/// The platform's key-value service as an interface.
+/// Interface to the platform's key-value store.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -11,7 +11,7 @@
 
 namespace marjoramtally {
 
-/// Names a lease of the store; 0 is none.
+/// Identifies a lease of the store; 0 is none.
 using StoreLeaseId = std::int64_t;
 
 /// One record.
@@ -31,7 +31,8 @@
   std::vector<StoreRecord> records_;
 };
 
-/// Holds if the key's last modification has this revision; 0: is absent.
+/// True if the key's last modification has this revision; 0 requires that the
+/// key does not exist.
 struct StoreCompare
 {
   std::string key_;
@@ -46,7 +47,7 @@
   StoreLeaseId lease_ = 0;
 };
 
-/// All puts and deletes take effect at once if all compares hold.
+/// All puts and deletes take effect atomically if all compares hold.
 struct StoreTxn
 {
   std::vector<StoreCompare> compares_;
@@ -54,7 +55,7 @@
   std::vector<std::string> deletes_;
 };
 
-/// What came of a transaction.
+/// Result of a transaction.
 struct StoreCommit
 {
   bool applied_ = false;
@@ -68,23 +69,23 @@
   StoreRecord record_;
 };
 
-/// Tells a watcher of changes, or that the watch ended (then it must read
-/// again and watch anew).
+/// Reports changes to a watcher, or that the watch ended; the watcher must then
+/// read again and open a new watch.
 struct StoreWatchBatch
 {
   bool ended_ = false;
-  /// The watch goes on, but for a while nothing was heard. Only some stores
-  /// tell, and only they send batches without events, which say that nothing
-  /// changed up to their revision.
+  /// The watch continues, but nothing was received for a while. Only some
+  /// stores report this, and only they send batches without events, which state
+  /// that nothing changed up to their revision.
   bool interrupted_ = false;
   std::uint64_t revision_ = 0;
   std::vector<StoreEvent> events_;
-  /// How long ago the store vouched for this; ages add up over relays, so that
-  /// no clocks are compared.
+  /// Time since the store confirmed this state. Relays add their own ages, so
+  /// that no clocks are compared.
   Duration age_{ 0 };
 };
 
-/// A lease granted.
+/// A granted lease.
 struct StoreLease
 {
   StoreLeaseId id_ = 0;
@@ -95,22 +96,23 @@
 using StoreDone = std::function<void(Result<T>)>;
 using StoreWatchId = std::uint64_t;
 
-/// The store. `Unavailable` errors prove that a write took no effect;
-/// after any other error it may or may not have.
+/// The store. An `Unavailable` error proves that a write took no effect; after
+/// any other error it may have taken effect.
 class Store
 {
 public:
   virtual ~Store() = default;
   /// Reads all records whose key starts with the prefix.
   virtual void Read(std::string aPrefix, StoreDone<StoreRange> aDone) = 0;
-  /// Reads all records under the prefix, as of a revision that may be some
-  /// seconds old; for who then follows the changes from that revision on.
-  /// Cheaper where the store can answer without asking for the newest.
+  /// Reads all records under the prefix as of a revision that may be some
+  /// seconds old, for callers that then watch the changes from that revision
+  /// on. Cheaper if the store can answer without looking up the newest
+  /// revision.
   virtual void ReadEarlier(std::string aPrefix, StoreDone<StoreRange> aDone)
   {
     Read(std::move(aPrefix), std::move(aDone));
   }
-  /// Reads the records under the prefix whose keys come after a key.
+  /// Reads the records under the prefix whose keys are greater than a key.
   virtual void ReadAfter(std::string aPrefix,
                          std::string aAfter,
                          StoreDone<StoreRange> aDone);
@@ -118,8 +120,8 @@
   virtual void GrantLease(Duration aTtl, StoreDone<StoreLease> aDone) = 0;
   virtual void KeepAlive(StoreLeaseId aLease, StoreDone<StoreLease> aDone) = 0;
   virtual void RevokeLease(StoreLeaseId aLease, StoreDone<bool> aDone) = 0;
-  /// Watches a prefix from a revision on; `aOnBatch` runs until the batch
-  /// with `ended_` or `StopWatch`.
+  /// Watches a prefix from a revision on. `aOnBatch` is called until a batch
+  /// with `ended_` or until `StopWatch`.
   virtual StoreWatchId Watch(
     std::string aPrefix,
     std::uint64_t aFromRevision,
--- a/include/marjoramtally/runtime/timers.hpp
+++ b/include/marjoramtally/runtime/timers.hpp
@@ -1,4 +1,4 @@
-/// Timers on one thread of their own.
+/// Timers that run on one thread of their own.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -8,7 +8,7 @@
 
 namespace marjoramtally {
 
-/// Runs functions later. They must not block.
+/// Runs functions after a delay. They must not block.
 class Timers
 {
 public:
@@ -18,7 +18,7 @@
   Timers& operator=(const Timers&) = delete;
   /// Runs a function once.
   void After(Duration aDelay, std::function<void()> aTask);
-  /// Runs a function again and again until the timers are destroyed.
+  /// Runs a function periodically until the timers are stopped.
   void Every(Duration aPeriod, std::function<void()> aTask);
   /// Stops; tasks not yet run are dropped.
   void Stop();
--- a/include/marjoramtally/runtime/trace.hpp
+++ b/include/marjoramtally/runtime/trace.hpp
@@ -1,4 +1,4 @@
-/// Traces: a span for each hop, in OTLP's JSON form, one a line.
+/// Tracing: a span for each hop in the OTLP JSON format, one per line.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace marjoramtally {
 
-/// Position in a trace, as W3C trace context carries it.
+/// Position in a trace, as in a W3C trace context.
 struct TraceContext
 {
   /// 32 hexadecimal digits.
   std::string traceId_;
-  /// 16 hexadecimal digits; the parent of what comes next.
+  /// 16 hexadecimal digits; the parent of the next span.
   std::string spanId_;
 
   /// Parses a `traceparent` value.
-  /// @returns nothing if it is malformed
+  /// @returns nullopt if it is malformed
   [[nodiscard]] static std::optional<TraceContext> Parse(
     std::string_view aText) noexcept;
-  /// Starts a trace.
+  /// Creates a context with a new trace id.
   [[nodiscard]] static TraceContext Fresh();
   /// @returns the `traceparent` value
   [[nodiscard]] std::string Format() const;
@@ -47,12 +47,12 @@
 class TraceWriter
 {
 public:
-  /// @param aPath file to append to; empty switches writing off
+  /// @param aPath file to append to; empty disables writing
   TraceWriter(const std::string& aPath, std::string aProcess);
   ~TraceWriter();
   TraceWriter(const TraceWriter&) = delete;
   TraceWriter& operator=(const TraceWriter&) = delete;
-  /// Stamps the end and writes the span.
+  /// Sets the span's end time and writes it.
   void End(Span aSpan);
   [[nodiscard]] bool Enabled() const noexcept;
 
--- a/include/marjoramtally/runtime/watch_history.hpp
+++ b/include/marjoramtally/runtime/watch_history.hpp
@@ -1,5 +1,5 @@
-/// The latest changes under one prefix of the store, as a relay keeps them
-/// for others.
+/// The latest changes under one prefix of the store, which a relay keeps for
+/// its peers.
 #pragma once
 
 #include "marjoramtally/base/clock.hpp"
@@ -14,35 +14,36 @@
 class WatchHistory
 {
 public:
-  /// Most changes kept.
+  /// Maximum number of changes kept.
   static constexpr std::size_t kMaxChanges = 2048;
-  /// Most bytes of keys and values kept. What a relay sends at once to 72 peers
-  /// is then below 38 MB; a larger change is read by each process from the
-  /// store, whose link is the faster one.
+  /// Maximum bytes of keys and values kept. What a relay sends at once to 72
+  /// peers is then below 38 MB; each process reads a larger change from the
+  /// store, which has the faster link.
   static constexpr std::size_t kMaxBytes = 512UL * 1024UL;
-  /// Largest change kept: 72 peers get it at once, which is 4.7 MB or 0.6 s of
-  /// a link of 60 Mbit/s; a relay that needs more than a second counts as
-  /// silent.
+  /// Largest change kept, in bytes: 72 peers get it at once, which is 4.7 MB or
+  /// 0.6 s of a 60 Mbit/s link; a relay that needs more than a second counts as
+  /// unresponsive.
   static constexpr std::size_t kMaxChangeBytes = 64UL * 1024UL;
-  /// An answer of the store vouches for the changes this long. A watch is
-  /// renewed every 1.4 s, and a change has to be known after two seconds.
+  /// How long a response of the store confirms the changes. A watch is renewed
+  /// every 1.4 s, and a change must be known after two seconds.
   static constexpr Duration kConfirmationLifetime =
     std::chrono::milliseconds(1700);
 
-  /// A watch was opened that tells all changes after this revision.
+  /// Starts with a watch that reports all changes after this revision.
   void Start(std::uint64_t aAfter, TimePoint aNow);
   void Append(const StoreWatchBatch& aBatch, TimePoint aNow);
-  /// The watch ended or was interrupted: nothing is vouched for.
+  /// Marks the history as unconfirmed after the watch ended or was interrupted.
   void Invalidate() { known_.reset(); }
 
-  /// @returns whether what is held is whole as of a moment ago
+  /// @returns whether the history is known to be complete as of
+  /// `kConfirmationLifetime` ago
   [[nodiscard]] bool Confirmed(TimePoint aNow) const noexcept;
-  /// @returns how long ago the store vouched for what is held
+  /// @returns the time since the store confirmed the history
   [[nodiscard]] Duration Age(TimePoint aNow) const noexcept
   {
     return aNow - confirmed_;
   }
-  /// @returns the latest revision that is known; 0 if none is
+  /// @returns the latest known revision; 0 if none is known
   [[nodiscard]] std::uint64_t Known() const noexcept
   {
     return known_.value_or(0);
--- a/include/marjoramtally/runtime/watch_messages.hpp
+++ b/include/marjoramtally/runtime/watch_messages.hpp
@@ -1,20 +1,20 @@
-/// Messages between a relay of the store's changes and those that ask it.
+/// Messages between a relay of the store's changes and its peers.
 #pragma once
 
 #include "marjoramtally/runtime/store.hpp"
 
 namespace marjoramtally {
 
-/// Asks for the changes under a prefix.
+/// Requests the changes under a prefix.
 struct WatchAsk
 {
   std::string prefix_;
-  /// The last revision that is known.
+  /// The last revision that the sender knows.
   std::uint64_t after_ = 0;
-  /// How long the answer may be held back while there is no change.
+  /// How long the response may be held back while there is no change.
   Duration wait_{ 0 };
-  /// The sender understands deflated answers. A process that does not would
-  /// take one for an answer without changes.
+  /// The sender accepts deflated responses. A process that does not support
+  /// them would read one as a response without changes.
   bool inflates_ = true;
 };
 
@@ -22,9 +22,10 @@
 EncodeWatchAsk(const WatchAsk& aAsk);
 [[nodiscard]] Result<WatchAsk>
 DecodeWatchAsk(std::string_view aBytes);
-/// Deflates what is larger than a kilobyte: a relay sends it to dozens of
-/// peers, and its link is what changes of many records fill first.
-/// @param aDeflated whether that may be done
+/// Encodes a batch. Messages larger than a kilobyte are deflated: a relay sends
+/// them to dozens of peers, and its link is the first bottleneck when many
+/// records change.
+/// @param aDeflated whether the message may be deflated
 [[nodiscard]] std::string
 EncodeWatchBatch(const StoreWatchBatch& aBatch, bool aDeflated = true);
 [[nodiscard]] Result<StoreWatchBatch>
--- a/src/runtime/curl_loop.cpp
+++ b/src/runtime/curl_loop.cpp
@@ -16,10 +16,10 @@
 
 /// Idle connections kept by each loop.
 constexpr long kMaxIdleConnections = 512;
-/// Events taken from the epoll set at once.
+/// Events read from the epoll set by one call.
 constexpr int kMaxEventsPerWait = 64;
-/// How often libcurl may want to act again at once before other work of the
-/// loop has its turn.
+/// Immediate timeouts of libcurl that are handled before other work of the loop
+/// gets its turn.
 constexpr int kMaxActionsPerTurn = 4;
 
 std::uint32_t
@@ -94,7 +94,7 @@
   Schedule();
 }
 
-/// Called under the lock.
+/// Requires `mutex_` to be held.
 void
 CurlLoop::Schedule()
 {
@@ -184,7 +184,7 @@
 void
 CurlLoop::EndIfIdle(HttpCallId aId)
 {
-  // Bytes that have come count before the time does.
+  // Bytes already received are processed before the timeout is checked.
   HandleReadySockets();
   Drive();
   const auto it = active_.find(aId);
@@ -256,7 +256,7 @@
     const epoll_event& event = events.at(static_cast<std::size_t>(i));
     const curl_socket_t socket = event.data.fd;
     if (InterestOf(socket).wanted_ == 0) {
-      // An idle connection that was closed: libcurl finds out itself.
+      // The peer closed an idle connection; libcurl detects that itself.
       epoll_ctl(epoll_, EPOLL_CTL_DEL, socket, nullptr);
       InterestOf(socket).watched_ = 0;
       continue;
@@ -267,8 +267,8 @@
   }
 }
 
-/// A timer that will run early enough is left alone: most calls end long
-/// before their time limit.
+/// Leaves a timer alone that expires early enough: most calls end long before
+/// their time limit.
 void
 CurlLoop::ArmTimer()
 {
@@ -354,7 +354,8 @@
   interest.watched_ = event.events;
 }
 
-/// libcurl may say only after closing a socket that it wants no more of it.
+/// Logs a socket that could not be registered. libcurl may report only after it
+/// has closed a socket that it no longer wants events; that is not an error.
 void
 CurlLoop::OnWatchFailed(curl_socket_t aSocket)
 {
@@ -390,10 +391,11 @@
   return 0;
 }
 
-/// A new socket is in no epoll set, whatever its number was watched for:
-/// libcurl closes one that never connected without calling `OnClose`. The next
-/// connection with its number would else never be heard, and its answers lie
-/// unread until a time limit.
+/// Opens a socket and clears the state kept for its descriptor. A new socket is
+/// in no epoll set, whatever the earlier socket with that number was registered
+/// for: libcurl closes a socket that never connected without calling `OnClose`.
+/// Without this, no event of the new connection would be received, and its
+/// responses would be read only at a time limit.
 curl_socket_t
 CurlLoop::OnOpen(void* aUser,
                  curlsocktype /*aPurpose*/,
@@ -407,7 +409,8 @@
   return opened;
 }
 
-/// libcurl does not repeat a wish that it had for a socket of the same number.
+/// Registers a new socket for the events that libcurl already wants: it does
+/// not report them again for a descriptor with the same number.
 void
 CurlLoop::OnOpened(curl_socket_t aSocket)
 {
@@ -418,12 +421,12 @@
   }
 }
 
-/// Closing a socket takes it out of the epoll set. It is reset: otherwise the
-/// kernel goes on to deliver a request that was given up, which then reached
-/// an upstream 3.6 s after the end of its job, when a partition was over. For
-/// the same reason no kernel timer ends a silent connection: every call has a
-/// time limit, and each stream is watched for silence, so that connections
-/// end here.
+/// Closes a socket with a reset; closing also removes it from the epoll set.
+/// Without the reset, the kernel continues to deliver a request that was
+/// abandoned: one reached an upstream 3.6 s after its job had ended, when a
+/// network partition was over. For the same reason no kernel timer ends an idle
+/// connection: every call has a time limit and each stream an idle timeout, so
+/// that connections are closed here.
 int
 CurlLoop::OnClose(void* aUser, curl_socket_t aSocket)
 {
--- a/src/runtime/curl_loop.hpp
+++ b/src/runtime/curl_loop.hpp
@@ -1,4 +1,4 @@
-/// Calls of libcurl driven by one event loop.
+/// HTTP calls of libcurl, driven by one event loop.
 #pragma once
 
 #include "runtime/curl_transfer.hpp"
@@ -11,11 +11,11 @@
 
 namespace marjoramtally {
 
-/// Carries out calls on a loop's thread. libcurl says which sockets it waits
-/// for; they stand in an epoll set of their own, which the loop watches as
-/// one descriptor. So a socket that stays open between two calls costs no
-/// system call to watch again, and calls in progress cost nothing until they
-/// move.
+/// Runs calls on the thread of an event loop. The sockets that libcurl wants to
+/// monitor are in an epoll set of their own, which the loop monitors as one
+/// descriptor. A connection that stays open between two calls therefore needs
+/// no system call to be monitored again, and calls in progress cost nothing
+/// until one of their sockets is ready.
 class CurlLoop
 {
 public:
@@ -24,19 +24,21 @@
   CurlLoop(const CurlLoop&) = delete;
   CurlLoop& operator=(const CurlLoop&) = delete;
 
-  /// Starts a call; from any thread.
+  /// Starts a call. Thread-safe.
   void Post(std::unique_ptr<CurlTransfer> aTransfer);
-  /// Ends a call early; from any thread.
+  /// Ends a call early. Thread-safe.
   void Cancel(HttpCallId aId);
-  /// Goes on receiving a paused transfer.
+  /// Resumes receiving on a paused transfer. Thread-safe.
   void Resume(HttpCallId aId);
-  /// Ends all calls as cancelled. Only once the loop has stopped.
+  /// Ends all calls as cancelled. May be called only after the loop has
+  /// stopped.
   void CancelAll();
 
 private:
   using Instant = SteadyTime;
 
-  /// What a socket is watched for, and what libcurl wants to know.
+  /// The epoll events that a socket is registered for, and those that libcurl
+  /// wants.
   struct Interest
   {
     std::uint32_t watched_ = 0;
@@ -55,12 +57,13 @@
   static int OnClose(void* aUser, curl_socket_t aSocket);
 
   void Schedule();
-  /// Starts what was posted, acts on what is due, reports what has ended.
+  /// Processes posted requests, runs libcurl's timeout if it is due and reports
+  /// completed calls.
   void Drive();
   void TakePosted();
   void StartTransfer(std::unique_ptr<CurlTransfer> aTransfer);
   void CancelTransfer(HttpCallId aId);
-  /// Looks at a call again when its silence is over, if it has a limit.
+  /// Arms the call's idle timer, if the call has an idle timeout.
   void ArmIdleTimer(CurlTransfer& aTransfer);
   void EndIfIdle(HttpCallId aId);
   void ResumeTransfer(HttpCallId aId);
@@ -81,13 +84,14 @@
   int epoll_;
   asio::posix::stream_descriptor ready_;
   asio::steady_timer timer_;
-  /// When libcurl wants to be called; `armed_` is when the timer will run.
+  /// When libcurl wants to be called for its timeout; `armed_` is the expiry
+  /// that `timer_` is set to.
   Instant due_ = Instant::max();
   Instant armed_ = Instant::max();
-  /// By socket number.
+  /// Indexed by socket descriptor.
   std::vector<Interest> interests_;
   std::unordered_map<HttpCallId, std::unique_ptr<CurlTransfer>> active_;
-  /// Of calls whose silence is limited.
+  /// Timers of the calls that have an idle timeout.
   std::unordered_map<HttpCallId, asio::steady_timer> idleTimers_;
   std::vector<CURL*> idleHandles_;
 
--- a/src/runtime/curl_transfer.cpp
+++ b/src/runtime/curl_transfer.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Read buffer of a call. Below the C library's limit for large blocks, so
-/// that taking and returning one is cheap.
+/// Read buffer of a call. It is below the C library's threshold for large
+/// allocations, so that allocating and freeing it is cheap.
 constexpr long kReadBufferBytes = 8L * 1024L;
-/// Statuses below are interim ones (RFC 9110, 15.2): the answer is to come.
+/// Lower statuses are interim responses (RFC 9110, 15.2), which precede the
+/// final one.
 constexpr long kMinFinalStatus = 200;
 
 std::string_view
@@ -57,8 +58,8 @@
     headers.clear();
     return line.size();
   }
-  // A head ends with an empty line. Refused here and not when the call has
-  // ended: by then the library keeps the connection for the next call.
+  // A head ends with an empty line. A response must be rejected here: once the
+  // call has ended, libcurl has already kept the connection for the next call.
   if (TrimValue(line).empty() && !transfer.ReportHead()) {
     return 0;
   }
@@ -124,7 +125,8 @@
   SetHeaders();
 }
 
-/// The clock is read for each line of a head, so only where it counts.
+/// Reads the clock only for calls with an idle timeout, as this runs for each
+/// line of a head.
 void
 CurlTransfer::OnByteReceived()
 {
@@ -159,7 +161,7 @@
     headerLines_.push_back(header.name_ + ": " + header.value_);
   }
   headerLines_.emplace_back("Expect:");
-  // What the call does not name is not to be added by the library.
+  // Keeps libcurl from adding headers that the call does not set.
   for (const char* added : { "Accept", "Content-Type" }) {
     if (!FindHeader(call_.headers_, added)) {
       headerLines_.push_back(std::string(added) + ":");
@@ -175,7 +177,8 @@
   curl_easy_setopt(easy_, CURLOPT_HTTPHEADER, headerNodes_.data());
 }
 
-/// Reports the head once: neither an interim one nor a trailer.
+/// Reports the head of the final response once; interim heads and trailers are
+/// not reported.
 bool
 CurlTransfer::ReportHead()
 {
--- a/src/runtime/curl_transfer.hpp
+++ b/src/runtime/curl_transfer.hpp
@@ -1,4 +1,4 @@
-/// One call as libcurl carries it out.
+/// One HTTP call, carried out by libcurl.
 #pragma once
 
 #include "marjoramtally/runtime/http_client.hpp"
@@ -8,8 +8,8 @@
 
 namespace marjoramtally {
 
-/// One call in progress; its address is the handle's private pointer, so it
-/// stays where it is until the call has ended.
+/// One call in progress. The libcurl handle's private pointer refers to this
+/// object, so it must not move until the call has ended.
 class CurlTransfer
 {
 public:
@@ -18,12 +18,13 @@
   [[nodiscard]] HttpCallId Id() const noexcept { return id_; }
   [[nodiscard]] CURL* Handle() const noexcept { return easy_; }
   void MarkCancelled() noexcept { cancelled_ = true; }
-  /// How long no byte may come.
+  /// Limits the time without a received byte.
   [[nodiscard]] IdleTimeout& Idle() noexcept { return idleTimeout_; }
 
-  /// Sets what is the same for every call; once for each handle.
+  /// Sets the options that are the same for every call; called once for each
+  /// handle.
   static void PrepareHandle(CURL* aEasy);
-  /// Takes a prepared handle and sets what this call needs.
+  /// Takes a prepared handle and sets the options of this call.
   void Attach(CURL* aEasy);
   /// Reads the result once libcurl has ended the call.
   [[nodiscard]] HttpResult TakeResult(CURLcode aCode);
@@ -41,7 +42,7 @@
   void OnByteReceived();
   void SetMethod();
   void SetHeaders();
-  /// @returns whether the answer is believed
+  /// @returns false if the caller rejects the response
   [[nodiscard]] bool ReportHead();
   [[nodiscard]] HttpEnd Classify(CURLcode aCode) const;
 
@@ -51,7 +52,8 @@
   HttpResponse response_;
   IdleTimeout idleTimeout_;
   CURL* easy_ = nullptr;
-  /// The request's header lines and the list of them that libcurl reads.
+  /// The request's header lines, and the linked list of them that libcurl
+  /// reads.
   std::vector<std::string> headerLines_;
   std::vector<curl_slist> headerNodes_;
   bool headReported_ = false;
--- a/src/runtime/embedded_records.cpp
+++ b/src/runtime/embedded_records.cpp
@@ -10,8 +10,8 @@
 /// Changes kept for watches that start at an earlier revision.
 constexpr std::int64_t kMaxKeptChanges = 10'000;
 
-/// A write-ahead log that is synced at each commit: what was answered
-/// outlasts the machine's failure.
+/// Uses a write-ahead log that is synced at each commit, so that a confirmed
+/// write survives a failure of the machine.
 constexpr const char* kSchemaSql = R"(
 PRAGMA journal_mode = WAL;
 PRAGMA synchronous = FULL;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-/// CompareHolds the write lock until it is committed, or rolls back.
+/// Takes the database's write lock; rolls back on destruction unless committed.
 class EmbeddedRecords::Transaction
 {
 public:
@@ -77,8 +77,8 @@
   Transaction transaction(*this);
   Run("INSERT OR IGNORE INTO meta VALUES(CAST('revision' AS BLOB), 1)");
   Run("INSERT OR IGNORE INTO meta VALUES(CAST('lease' AS BLOB), 1000)");
-  // A monotonic clock starts anew with the machine: no lease has more left
-  // than its whole time.
+  // The monotonic clock restarts with the machine, so a lease's remaining time
+  // is capped at its TTL.
   Prepare("UPDATE leases SET ends = min(ends, ?1 + ttl)")
     .Bind(Micros(aNow))
     .Step();
--- a/src/runtime/embedded_records.hpp
+++ b/src/runtime/embedded_records.hpp
@@ -1,4 +1,5 @@
-/// The records, leases and changes of the embedded store, in one SQLite file.
+/// Records, leases and the change history of the embedded store, in one SQLite
+/// file.
 #pragma once
 
 #include "marjoramtally/runtime/store.hpp"
@@ -9,33 +10,33 @@
 
 namespace marjoramtally {
 
-/// Changes after a revision, as a watch needs them.
+/// Changes from a revision on, as a watch reports them.
 struct RecordChanges
 {
-  /// Set if some of them are no longer kept.
+  /// Set if some of the changes have already been deleted.
   bool incomplete_ = false;
   std::uint64_t revision_ = 0;
   std::vector<StoreEvent> events_;
 };
 
-/// Each function is one transaction that first ends the leases due. Throws
-/// `SqliteError`. For one thread.
+/// Each function is one transaction, which first removes expired leases. Throws
+/// `SqliteError`. Not thread-safe.
 class EmbeddedRecords
 {
 public:
-  /// @param aFile made if there is none
-  /// @param aNow the present, by the clock that leases end by
+  /// @param aFile created if it does not exist
+  /// @param aNow the current time of the clock that leases expire by
   EmbeddedRecords(const std::string& aFile, TimePoint aNow);
 
   [[nodiscard]] StoreRange Read(const std::string& aPrefix, TimePoint aNow);
-  /// @returns nothing if a put names a lease that is not there
+  /// @returns nullopt if a put names a lease that does not exist
   [[nodiscard]] std::optional<StoreCommit> Commit(const StoreTxn& aTxn,
                                                   TimePoint aNow);
   [[nodiscard]] StoreLease Grant(Duration aTtl, TimePoint aNow);
-  /// @returns a time of zero if the lease has ended
+  /// @returns a lease with a TTL of zero if the lease has expired
   [[nodiscard]] StoreLease KeepAlive(StoreLeaseId aLease, TimePoint aNow);
   void Revoke(StoreLeaseId aLease, TimePoint aNow);
-  /// Changes of keys with a prefix, from a revision on.
+  /// Returns the changes of keys with a prefix, from a revision on.
   [[nodiscard]] RecordChanges ChangesFrom(const std::string& aPrefix,
                                           std::uint64_t aRevision,
                                           TimePoint aNow);
--- a/src/runtime/embedded_store.cpp
+++ b/src/runtime/embedded_store.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr const char* kFileName = "store.sqlite";
-/// How often changes of other processes are looked for while there are
+/// How often the file is polled for changes of other processes while there are
 /// watches.
 constexpr auto kWatchPeriod = std::chrono::milliseconds(50);
 
-/// One watch and the revision from which it has not yet seen changes.
+/// One watch and the first revision whose changes it has not yet received.
 struct OpenWatch
 {
   std::string prefix_;
@@ -25,8 +25,8 @@
   std::function<void(const StoreWatchBatch&)> onBatch_;
 };
 
-/// Runs all calls one after the other on a thread of its own, as a commit
-/// waits for the disk.
+/// Runs all calls in order on a thread of its own, because a commit waits for
+/// the disk.
 class EmbeddedStore final : public Store
 {
 public:
@@ -130,7 +130,8 @@
     wake_.notify_one();
   }
 
-  /// A transaction that failed was rolled back, so it took no effect.
+  /// Converts an `SqliteError` to `Unavailable`: a failed transaction was
+  /// rolled back, so it took no effect.
   template<typename T, typename Function>
   static Result<T> RunCatching(const Function& aFunction)
   {
@@ -211,7 +212,7 @@
   std::condition_variable wake_;
   std::deque<std::function<void()>> tasks_;
   std::map<StoreWatchId, std::shared_ptr<OpenWatch>> watches_;
-  /// Stopped before they were open.
+  /// Watches that were stopped before they were opened.
   std::map<StoreWatchId, bool> stoppedBeforeOpen_;
   StoreWatchId lastWatch_ = 0;
   bool stopping_ = false;
--- a/src/runtime/etcd_store.cpp
+++ b/src/runtime/etcd_store.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// A watch call ends and is renewed after this long.
+/// Time limit of a watch call; the watcher then opens a new one.
 constexpr auto kWatchTimeout = std::chrono::minutes(10);
 
 std::string
@@ -30,7 +30,7 @@
   return { reinterpret_cast<const char*>(bytes.begin()), bytes.size() };
 }
 
-/// The key after all keys with the prefix.
+/// Returns the first key after all keys with the prefix.
 std::string
 PrefixEnd(std::string aPrefix)
 {
@@ -45,7 +45,8 @@
   return std::string(1, '\0');
 }
 
-/// 64-bit numbers are strings in the gateway's JSON; absent means zero.
+/// Reads a number. 64-bit numbers are strings in the gateway's JSON, and an
+/// absent field means zero.
 std::int64_t
 Number(const Json& aObject, const char* aName)
 {
@@ -128,7 +129,7 @@
   return { { "compare", compares }, { "success", steps } };
 }
 
-/// One watch: a streamed response of one JSON object a line.
+/// One watch: a streamed response with one JSON object per line.
 struct WatchState
 {
   std::function<void(const StoreWatchBatch&)> onBatch_;
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -29,7 +29,8 @@
     }
   }
 
-  /// The id tells the loop, so that `Cancel` finds it.
+  /// The id modulo the number of loops is the loop's index, so that `Cancel`
+  /// finds it.
   HttpCallId Send(HttpCall aCall, HttpDone aDone) override
   {
     const std::size_t loop = pool_->Pick();
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -15,9 +15,9 @@
 
 using Tcp = restinio::asio_ns::ip::tcp;
 
-/// A connection's socket that its replies can find by the caller's address.
-/// The HTTP library reads nothing while a request is in progress and so does
-/// not notice a caller that leaves; a reply watches the socket for that.
+/// A connection's socket, which replies find by the caller's address. The HTTP
+/// library reads nothing while a request is in progress and so does not notice
+/// a caller that disconnects; a reply monitors the socket for that.
 class CallerSocket : public Tcp::socket
 {
 public:
@@ -31,16 +31,16 @@
   CallerSocket& operator=(const CallerSocket&) = delete;
   ~CallerSocket()
   {
-    // The caller may have used its port again for a connection of which this
-    // one, held by an old reply, must not take the place.
+    // The caller may have reused its port for a newer connection, whose entry
+    // must not be removed when this one, kept open by an old reply, ends.
     const auto it = OpenSockets().find(remote_);
     if (registered_ && it != OpenSockets().end() && it->second == this) {
       OpenSockets().erase(it);
     }
   }
 
-  /// The library's first read is the moment from which on the socket stays
-  /// where it is.
+  /// Registers the socket at the library's first read; from then on it is not
+  /// moved.
   template<typename... Args>
   auto async_read_some(Args&&... aArgs)
   {
@@ -57,14 +57,15 @@
     return Tcp::socket::async_read_some(std::forward<Args>(aArgs)...);
   }
 
-  /// @returns the number of the caller's present connection; 0 if it has none
+  /// @returns the number of the caller's current connection; 0 if it has none
   static std::uint64_t NumberOf(const Tcp::endpoint& aCaller)
   {
     const auto it = OpenSockets().find(aCaller);
     return it == OpenSockets().end() ? 0 : it->second->number_;
   }
 
-  /// @returns that connection of a caller if it is open, or nullptr
+  /// @returns the caller's connection with that number, or nullptr if it is
+  /// closed
   static CallerSocket* Find(const Tcp::endpoint& aCaller, std::uint64_t aNumber)
   {
     const auto it = OpenSockets().find(aCaller);
@@ -74,7 +75,7 @@
   }
 
 private:
-  /// Each loop has one thread, which alone uses its connections.
+  /// Sockets of the current thread's loop; only that thread uses them.
   static std::map<Tcp::endpoint, CallerSocket*>& OpenSockets()
   {
     static thread_local std::map<Tcp::endpoint, CallerSocket*> sockets;
@@ -82,12 +83,14 @@
   }
 
   Tcp::endpoint remote_;
-  /// Callers use their ports again; numbers are new.
+  /// Distinguishes connections from the same address and port, as callers reuse
+  /// their ports.
   std::uint64_t number_ = 0;
   bool registered_ = false;
 };
 
-/// Each connection stays on the one thread of its loop, so no strand.
+/// Each connection is used only on the one thread of its loop, so no strand is
+/// needed.
 using Traits =
   restinio::traits_t<restinio::asio_timer_manager_t,
                      restinio::null_logger_t,
@@ -97,18 +100,18 @@
 using Server = restinio::http_server_t<Traits>;
 using StreamBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-/// Bodies up to this many times the limit are read so as to answer 413;
-/// larger ones end the connection.
+/// Bodies up to this multiple of the limit are read in order to answer 413;
+/// larger ones close the connection.
 constexpr std::uint64_t kBodyReadFactor = 8;
-/// Long enough for any generation; deadlines are enforced elsewhere.
+/// Longer than any generation; the actual deadlines are enforced elsewhere.
 constexpr auto kHandleTimeout = std::chrono::hours(24);
-/// How long an idle connection is kept.
+/// How long an idle connection is kept open.
 constexpr auto kIdleTimeout = std::chrono::minutes(10);
-/// A caller that reads nothing for so long loses its connection.
+/// A caller that reads nothing for this long is disconnected.
 constexpr auto kWriteTimeout = std::chrono::minutes(1);
 constexpr std::size_t kReadBufferBytes = 16U * 1024U;
 
-/// What replies share with their server.
+/// State shared by a server and its replies.
 struct ServerState
 {
   /// Outlives all connections.
@@ -192,7 +195,8 @@
   }
 
 private:
-  /// Sockets are sockets on their loop's thread alone.
+  /// Runs a task on the connection's loop, at once if called there. Sockets are
+  /// registered per thread.
   void RunOnLoop(std::function<void()> aTask)
   {
     auto& context = state_->pool_->Loop(loop_).Context();
@@ -208,13 +212,14 @@
     CallerSocket* socket =
       CallerSocket::Find(request_->remote_endpoint(), connection_);
     if (socket == nullptr || finished_) {
-      // The connection is gone; a last chunk would be a whole answer.
+      // The connection is closed. A last chunk would mark the response as
+      // complete.
       Finish();
       return;
     }
     asio::error_code ignored;
     socket->shutdown(Tcp::socket::shutdown_both, ignored);
-    // The library notices the closed socket by writing to it.
+    // The library detects the closed socket only when it writes to it.
     if (stream_) {
       End();
     } else {
@@ -265,7 +270,7 @@
 
   std::shared_ptr<ServerState> state_;
   restinio::request_handle_t request_;
-  /// The loop of the connection.
+  /// Index of the connection's loop.
   std::size_t loop_;
   std::uint64_t connection_;
   std::unique_ptr<StreamBuilder> stream_;
@@ -308,7 +313,7 @@
     }
   }
 
-  /// Each loop accepts from the same listening socket.
+  /// Opens one server per loop; all accept from the same listening socket.
   Result<bool> Open()
   {
     for (std::size_t i = 0; i < state_->pool_->Size(); ++i) {
@@ -347,7 +352,8 @@
   }
 
 private:
-  /// Runs a task on a loop and waits for it; at once if called there.
+  /// Runs a task on a loop and waits for it; runs it at once if called on that
+  /// loop.
   void RunOn(std::size_t aLoop, const std::function<void()>& aTask)
   {
     auto& context = state_->pool_->Loop(aLoop).Context();
@@ -368,9 +374,9 @@
     }
   }
 
-  /// The first loop's socket is bound to the port wanted; the others take
-  /// it over. So a port in use is an error, as with one socket, and every
-  /// loop accepts.
+  /// Makes all loops share one listening socket: the first loop's is bound to
+  /// the requested port, and the others use a duplicate of it. A port in use is
+  /// therefore an error, as with one socket, and every loop accepts.
   void ShareListener(restinio::asio_ns::ip::tcp::acceptor& aAcceptor)
   {
     if (listener_ < 0) {
@@ -425,7 +431,7 @@
   std::shared_ptr<ServerState> state_ = std::make_shared<ServerState>();
   std::atomic<std::uint16_t> port_{ 0 };
   std::atomic<bool> open_{ false };
-  /// The first loop's listening socket; below zero before it is bound.
+  /// The first loop's listening socket; negative until it is bound.
   int listener_ = -1;
   std::vector<std::unique_ptr<Server>> servers_;
 };
--- a/src/runtime/http_types.cpp
+++ b/src/runtime/http_types.cpp
@@ -16,7 +16,8 @@
            : aLetter;
 }
 
-/// Names are letters, digits and a few signs, whatever the locale says.
+/// Compares ASCII only, independent of the locale: header names contain only
+/// letters, digits and a few symbols.
 bool
 EqualIgnoringCase(std::string_view aLeft, std::string_view aRight) noexcept
 {
--- a/src/runtime/idle_timeout.hpp
+++ b/src/runtime/idle_timeout.hpp
@@ -1,4 +1,4 @@
-/// How long a call may go without a byte.
+/// Limits how long a call may go without receiving a byte.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 /// An instant of the machine's monotonic clock.
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// A limit on the time between two bytes. A process that was held up, by a
-/// suspension or for want of a processor, does not take that time for its
-/// peer's silence: its check runs late, and the peer gets as much time again.
-/// The call's own time limit bounds how often.
+/// Limits the time between two received bytes. If this process was suspended or
+/// did not get a processor, that time does not count against the peer: when the
+/// check runs late, the peer gets that much time again, at most one whole
+/// limit. The call's own time limit bounds how often this happens.
 class IdleTimeout
 {
 public:
@@ -25,12 +25,13 @@
   }
 
   [[nodiscard]] bool Limited() const noexcept { return limit_ > Span{ 0 }; }
-  /// The call was sent or a byte came.
+  /// Restarts the timeout, when the call is sent or a byte is received.
   void OnByte(SteadyTime aNow) noexcept { due_ = aNow + limit_; }
-  /// @returns when the silence is to be checked
+  /// @returns when `Check` is to be called
   [[nodiscard]] SteadyTime DueAt() const noexcept { return due_; }
-  /// The check runs, after all bytes that had come were taken.
-  /// @returns whether the silence is over its limit; else `DueAt` is later
+  /// Checks the timeout. Bytes already received must have been processed
+  /// before.
+  /// @returns whether the call has timed out; if not, `DueAt` is later
   [[nodiscard]] bool Check(SteadyTime aNow) noexcept
   {
     const Span late = aNow - due_;
@@ -45,7 +46,8 @@
   }
 
 private:
-  /// A timer that fires so much late fires in a process that was held up.
+  /// A timer that fires this late indicates that the process was suspended or
+  /// starved.
   static constexpr std::chrono::milliseconds kDelayedTimer{ 250 };
 
   Span limit_{ 0 };
--- a/src/runtime/io_loop.hpp
+++ b/src/runtime/io_loop.hpp
@@ -1,4 +1,4 @@
-/// One event loop, for the units that serve and send.
+/// One event loop, shared by the HTTP server and client.
 #pragma once
 
 #include <asio/executor_work_guard.hpp>
@@ -6,7 +6,7 @@
 
 namespace marjoramtally {
 
-/// A context that one thread runs.
+/// An I/O context for one thread; it keeps running without work.
 class IoLoop
 {
 public:
--- a/src/runtime/io_pool.cpp
+++ b/src/runtime/io_pool.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Which loop the present thread runs.
+/// The loop that the current thread runs.
 struct CurrentLoop
 {
   const IoPool* pool_ = nullptr;
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -11,10 +11,10 @@
 #include <log4cxx/patternlayout.h>
 #include <unistd.h>
 
-// The library's macros for its class tables stand in its own namespace.
+// log4cxx's class macros require its own namespace.
 namespace log4cxx {
 
-/// Writes lines to standard output without ever waiting for its reader.
+/// Writes lines to standard output without ever blocking on its reader.
 class OutputAppender final : public AppenderSkeleton
 {
 public:
@@ -82,7 +82,7 @@
 
 namespace {
 
-/// Text in front of each event's own pairs.
+/// Prefix of every line: the program's and the instance's name.
 std::string gPrefix;
 
 log4cxx::LevelPtr
@@ -125,7 +125,7 @@
   aLine += '"';
 }
 
-/// A log level by its name.
+/// Maps a log level's name to its enumerator.
 struct LevelName
 {
   std::string_view name_;
--- a/src/runtime/log_explanation.cpp
+++ b/src/runtime/log_explanation.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-/// Lines of other ids bear on a request for so long before its first line:
-/// longer than a sign of life lasts and a lost watch goes unnoticed.
+/// Lines up to this long before an id's first line are related to it: longer
+/// than a liveness record takes to expire and a lost watch to be noticed.
 constexpr auto kLookBack = std::chrono::seconds(6);
 constexpr auto kLookAhead = std::chrono::milliseconds(500);
 
-/// Fields that name what a line is about.
+/// Fields that hold the id of a line's subject.
 constexpr std::array<std::string_view, 4> kIdFields{ "id",
                                                      "item",
                                                      "job",
                                                      "call" };
 
-/// Events that tell what a process knew.
+/// Events about the state of a process and of what it reads.
 constexpr std::array<std::string_view, 14> kStateEvents{
   "config_read",
   "upstreams_read",
@@ -40,7 +40,7 @@
   "reading_failed",
 };
 
-/// Events that tell of an upstream.
+/// Events about an upstream.
 constexpr std::array<std::string_view, 8> kUpstreamEvents{
   "upstream_vanished", "upstream_registered", "attempt_failed",
   "answer_rejected",   "attempt_outwaited",   "run_interrupted",
@@ -54,7 +54,8 @@
   return std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
 }
 
-/// @returns the value, without quotes, and removes it from the text
+/// Removes a value from the start of the text.
+/// @returns the value without its quotes
 std::string
 TakeValue(std::string_view& aText)
 {
@@ -101,7 +102,8 @@
     });
 }
 
-/// Who took part in a explanation, and when.
+/// The instances, upstreams and jobs named by an id's own lines, and the period
+/// in which other lines are related to it.
 struct Participants
 {
   std::set<std::string, std::less<>> instances_;
@@ -143,7 +145,7 @@
   if (Contains(kStateEvents, event)) {
     return aParticipants.instances_.contains(aLine.Field("instance"));
   }
-  // Upstreams are named `id` where they are what the line is about.
+  // Events about the upstream itself name it in `id`, all others in `upstream`.
   if (Contains(kUpstreamEvents, event)) {
     return aParticipants.upstreams_.contains(aLine.Field("upstream")) ||
            aParticipants.upstreams_.contains(aLine.Field("id"));
@@ -161,11 +163,12 @@
     }));
 }
 
-/// How an event ends a request, for people.
+/// Describes how an event ends a request, as text for the operator.
 struct Ending
 {
   std::string_view event_;
-  /// Field whose value chooses the sentence; empty: any.
+  /// Field whose value selects the sentence; empty matches any line of the
+  /// event.
   std::string_view field_;
   std::string_view value_;
   std::string_view sentence_;
@@ -179,32 +182,36 @@
   { "request_given_up",
     "status",
     "502",
-    "answered 502: attempts failed, and it may not or could not run again" },
+    "answered 502: attempts failed, and another one was not allowed or "
+    "possible" },
   { "request_given_up",
     "status",
     "504",
-    "answered 504: the time of the caller or of the route was over" },
-  { "request_abandoned", "", "", "the caller left before there was an answer" },
+    "answered 504: the deadline of the caller or of the route expired" },
+  { "request_abandoned",
+    "",
+    "",
+    "the caller disconnected before the response" },
   { "no_route",
     "",
     "",
-    "answered 404: no route of the revision in force takes its path" },
+    "answered 404: no route of the configuration in effect matches its path" },
   { "job_submitted",
     "outcome",
     "refused",
-    "the job was refused: the store took nothing" },
+    "the job was refused: nothing was written to the store" },
   { "job_submitted",
     "outcome",
     "unknown",
-    "the store did not say whether it took the job; sending it again is safe" },
-  { "job_rejected", "", "", "the job was rejected: its body cannot be read" },
-  { "item_errored", "", "", "the item was given up" },
-  { "item_scored", "", "", "the item's text was made and scored" },
-  { "item_whole", "", "", "the item's text was made" },
+    "the store did not confirm the job; submitting it again is safe" },
+  { "job_rejected", "", "", "the job was rejected: its body cannot be parsed" },
+  { "item_errored", "", "", "the item was abandoned" },
+  { "item_scored", "", "", "the item's text was generated and scored" },
+  { "item_whole", "", "", "the item's text was generated" },
   { "job_ended", "", "", "the job was ended" },
-  { "run_interrupted", "", "", "the last run seen was interrupted" },
-  { "run_silent", "", "", "the last run seen had gone silent" },
-  { "score_failed", "", "", "the last score call seen failed" },
+  { "run_interrupted", "", "", "the last run in the logs was interrupted" },
+  { "run_silent", "", "", "the last run in the logs stopped sending events" },
+  { "score_failed", "", "", "the last score call in the logs failed" },
 });
 
 const Ending*
@@ -246,10 +253,11 @@
                               line.Field("id") == upstream);
     }
     if (failures > 0) {
-      aExplanation.findings_.push_back(fmt::format(
-        "upstream {} failed {} other calls around that time: look there",
-        upstream,
-        failures));
+      aExplanation.findings_.push_back(
+        fmt::format("upstream {} failed {} other calls around that time; check "
+                    "that upstream",
+                    upstream,
+                    failures));
     }
     if (orders > 0) {
       aExplanation.findings_.push_back(
@@ -262,7 +270,8 @@
   }
 }
 
-/// A process whose last word on a dependency was its loss.
+/// Adds a finding for each process whose last event about a dependency reported
+/// its loss.
 void
 AddDependencyFindings(LogExplanation& aExplanation)
 {
@@ -298,7 +307,8 @@
     [](const LogLine& aLine) { return FindEnding(aLine) != nullptr; });
   aExplanation.findings_.push_back(
     last == aExplanation.ownLines_.rend()
-      ? std::string("no line tells its end: it was answered, or goes on")
+      ? std::string(
+          "no line reports its end: it was answered or is still in progress")
       : Describe(*last, *FindEnding(*last)));
   const std::size_t failed =
     CountEvents(aExplanation.ownLines_, "attempt_failed") +
@@ -306,26 +316,28 @@
     CountEvents(aExplanation.ownLines_, "run_interrupted");
   if (failed > 0) {
     aExplanation.findings_.push_back(
-      fmt::format("{} of its attempts gave no whole answer", failed));
+      fmt::format("{} of its attempts gave no complete response", failed));
   }
   const std::size_t moved =
     CountEvents(aExplanation.ownLines_, "attempt_outwaited") +
     CountEvents(aExplanation.ownLines_, "run_silent") +
     CountEvents(aExplanation.ownLines_, "run_moved");
   if (moved > 0) {
-    aExplanation.findings_.push_back(fmt::format(
-      "{} of its attempts were given up for slowness or silence", moved));
+    aExplanation.findings_.push_back(
+      fmt::format("{} of its attempts were abandoned because they were slow or "
+                  "unresponsive",
+                  moved));
   }
   AddUpstreamFindings(aExplanation, aParticipants);
   AddDependencyFindings(aExplanation);
   if (CountEvents(aExplanation.relatedLines_, "job_claimed") > 0) {
     aExplanation.findings_.emplace_back(
-      "another process took its job over: runs began again from the texts "
-      "that had been saved");
+      "another process took its job over: runs restarted from the texts "
+      "that were saved");
   }
   if (CountEvents(aExplanation.relatedLines_, "log_lines_left_out") > 0) {
     aExplanation.findings_.emplace_back(
-      "lines were left out of these logs; the explanation may have gaps");
+      "lines were left out of these logs; the explanation may be incomplete");
   }
 }
 
--- a/src/runtime/loop_timers.cpp
+++ b/src/runtime/loop_timers.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-/// What the handler of the kernel's timer shares with its owner.
+/// State shared by the loop's timers and the handler of the one kernel timer.
 struct TimerState : std::enable_shared_from_this<TimerState>
 {
   using Instant = std::chrono::steady_clock::time_point;
-  /// Ids grow, so that timers due at once run in the order they were set.
+  /// Ids increase, so that timers due at the same time run in the order in
+  /// which they were set.
   using TimerKey = std::pair<Instant, LoopTimerId>;
 
   explicit TimerState(asio::io_context& aContext)
@@ -23,7 +24,7 @@
   {
   }
 
-  /// A wake-up that comes early enough for all is left as it is.
+  /// Arms the kernel timer unless it already expires early enough.
   void Arm()
   {
     if (tasks_.empty() || tasks_.begin()->first.first >= armed_) {
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -25,7 +25,7 @@
                                                    ba::tag::max,
                                                    ba::tag::extended_p_square>>;
 
-/// Splits `name{labels}` so that a suffix can go between the two.
+/// Inserts a suffix between the name and the labels of `name{labels}`.
 std::string
 WithSuffix(const std::string& aName, const std::string& aSuffix)
 {
--- a/src/runtime/program.cpp
+++ b/src/runtime/program.cpp
@@ -67,7 +67,7 @@
   add("version", "print the version");
   add("settings",
       po::value(&options.settingsFile_),
-      "settings file (INI); needed");
+      "settings file (INI); required");
   add("check", "check the settings, report all findings and exit");
   po::variables_map values;
   try {
--- a/src/runtime/rpc.cpp
+++ b/src/runtime/rpc.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A node whose event loop has a thread of its own.
+/// A node with an event loop on its own thread.
 class KjNode final
   : public RpcNode
   , private kj::TaskSet::ErrorHandler
@@ -100,7 +100,8 @@
 
   void taskFailed(kj::Exception&& /*aFailure*/) override
   {
-    // Lost connections end their tasks; calls report their own failures.
+    // Tasks fail when their connection is lost; calls report their own
+    // failures.
   }
 
   RpcNodeContext context_;
--- a/src/runtime/rpc_links.cpp
+++ b/src/runtime/rpc_links.cpp
@@ -150,9 +150,9 @@
     .attach(std::move(aLink));
 }
 
-/// Calls in progress keep a link; the next call opens another. A connection
-/// may be silent for good without being closed, so a call that took too long
-/// counts as well.
+/// Removes a link after a failed call, so that the next call opens a new
+/// connection; calls in progress keep the old one. A timed-out call counts as
+/// failed, because a connection may stop delivering data without being closed.
 void
 RpcLinks::Drop(const std::string& aPeer, const LinkPtr& aLink)
 {
--- a/src/runtime/rpc_links.hpp
+++ b/src/runtime/rpc_links.hpp
@@ -1,4 +1,4 @@
-/// Connections to peers, and the calls made over them.
+/// Connections to peers, and the calls sent over them.
 #pragma once
 
 #include "marjoramtally/base/random.hpp"
@@ -12,21 +12,21 @@
 
 struct RpcLink;
 
-/// The peers that a node calls; used on the node's thread only. Tasks may
-/// outlive it, if they do not run any more.
+/// Connections to the peers that a node calls; used on the node's thread only.
+/// Pending tasks may outlive this object if they are not run any more.
 class RpcLinks
 {
 public:
   using CallPtr = std::shared_ptr<RpcCall>;
   using DonePtr = std::shared_ptr<RpcDone>;
 
-  /// @param aNetwork and the other parameters outlive the links
+  /// @param aNetwork must outlive this object, as must the other parameters
   RpcLinks(kj::Network& aNetwork,
            kj::Timer& aTimer,
            kj::TaskSet& aTasks,
            RpcMac& aMac);
 
-  /// Calls a peer, over a new connection if there is none.
+  /// Calls a peer, over a new connection if there is none yet.
   [[nodiscard]] kj::Promise<void> Call(std::string aPeer,
                                        CallPtr aCall,
                                        DonePtr aDone);
@@ -37,10 +37,11 @@
   [[nodiscard]] kj::Promise<kj::Own<kj::AsyncIoStream>> Connect(
     const std::string& aPeer,
     Duration aLimit);
-  /// Takes over a new connection.
-  /// @returns the link to use, which is an older one if there is one
+  /// Adds a new connection.
+  /// @returns the link to use: an existing one if another call has connected
+  /// meanwhile
   LinkPtr AddLink(const std::string& aPeer, kj::Own<kj::AsyncIoStream> aStream);
-  /// Forgets a link once its connection is lost.
+  /// Removes a link when its connection is lost.
   void WatchLink(const std::string& aPeer, const LinkPtr& aLink);
   [[nodiscard]] kj::Promise<void> SendCall(const std::string& aPeer,
                                            LinkPtr aLink,
--- a/src/runtime/rpc_mac.cpp
+++ b/src/runtime/rpc_mac.cpp
@@ -21,7 +21,8 @@
   }
 }
 
-/// Lengths go first, so that no two messages have the same bytes.
+/// Writes the length first, so that different field values never give the same
+/// bytes.
 void
 AppendText(std::string& aOut, std::string_view aText)
 {
@@ -117,7 +118,7 @@
 void
 RpcMac::RemoveOldNonces(std::uint64_t aNowMillis)
 {
-  // A stamp from a clock ahead stays valid for two windows.
+  // A stamp of a sender whose clock is ahead stays valid for up to two windows.
   while (!seen_.empty() &&
          seen_.front().unixMillis_ + 2 * kRpcWindowMillis < aNowMillis) {
     nonces_.erase(seen_.front().nonce_);
--- a/src/runtime/rpc_mailbox.hpp
+++ b/src/runtime/rpc_mailbox.hpp
@@ -1,4 +1,4 @@
-/// Hands tasks to the thread of an event loop.
+/// Passes tasks to the thread of an event loop.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,14 @@
 
 namespace marjoramtally {
 
-/// Tasks handed to the event loop's thread from others. `Post` is
-/// thread-safe; `RunPosted` belongs to the loop's thread.
+/// Queue of tasks that other threads post to an event loop. `Post` is
+/// thread-safe; `RunPosted` may be called on the loop's thread only.
 class RpcMailbox
 {
 public:
   void Post(std::function<void()> aTask);
-  /// Runs the tasks posted so far, then arms the next wake-up.
+  /// Runs the tasks posted so far.
+  /// @returns a promise that is fulfilled when another task is posted
   [[nodiscard]] kj::Promise<void> RunPosted();
 
 private:
--- a/src/runtime/rpc_server.cpp
+++ b/src/runtime/rpc_server.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Serves calls by handing them to the node's handler.
+/// Passes authenticated calls to the node's handler.
 class PeerServer final : public wire::Peer::Server
 {
 public:
--- a/src/runtime/rpc_server.hpp
+++ b/src/runtime/rpc_server.hpp
@@ -1,4 +1,4 @@
-/// Serves the calls that come over accepted connections.
+/// Serves calls received over accepted connections.
 #pragma once
 
 #include "marjoramtally/runtime/rpc.hpp"
@@ -9,7 +9,7 @@
 
 namespace marjoramtally {
 
-/// What all connections of a node share; used on the node's thread.
+/// State shared by all connections of a node; used on the node's thread only.
 struct RpcNodeContext
 {
   RpcHandler handler_;
@@ -19,9 +19,9 @@
 };
 
 /// Serves one connection.
-/// @param aNode outlives the promise
-/// @param aMailbox takes answers that come on other threads
-/// @returns a promise that is kept once the connection is lost
+/// @param aNode must outlive the promise
+/// @param aMailbox receives replies that are given on other threads
+/// @returns a promise that is fulfilled when the connection is lost
 [[nodiscard]] kj::Promise<void>
 ServeConnection(kj::Own<kj::AsyncIoStream> aStream,
                 RpcNodeContext& aNode,
--- a/src/runtime/rpc_wire.cpp
+++ b/src/runtime/rpc_wire.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Largest message either side reads, in words of eight bytes.
+/// Largest message that either side reads, in words of eight bytes.
 constexpr std::uint64_t kMaxMessageWords = 8U * 1024U * 1024U;
 
 capnp::Data::Reader
--- a/src/runtime/rpc_wire.hpp
+++ b/src/runtime/rpc_wire.hpp
@@ -1,4 +1,5 @@
-/// Calls and answers between processes as messages, with their proofs.
+/// Encodes and decodes calls and replies between processes, with their
+/// authentication.
 #pragma once
 
 #include "marjoramtally/runtime/rpc.hpp"
@@ -10,11 +11,12 @@
 
 namespace marjoramtally {
 
-/// @returns bounds of the messages that either side reads
+/// @returns the size limits for messages that either side reads
 [[nodiscard]] capnp::ReaderOptions
 RpcReaderLimits();
 
-/// @returns the time that stamps are made and judged by
+/// @returns the wall-clock time in milliseconds, by which stamps are made and
+/// checked
 [[nodiscard]] std::uint64_t
 WallMillis();
 
@@ -29,14 +31,14 @@
 [[nodiscard]] RpcStamp
 ReadStamp(wire::Peer::CallParams::Reader aParams);
 
-/// Writes an answer with its proof.
+/// Writes a reply with its authentication code.
 void
 WriteReply(wire::Peer::CallResults::Builder aResults,
            const RpcReply& aReply,
            const RpcMac& aMac,
            const RpcStamp& aCall);
 
-/// @returns an answer, if its proof holds
+/// @returns the reply, or a `Timeout` error if its authentication code is wrong
 [[nodiscard]] RpcReply
 ReadReply(wire::Peer::CallResults::Reader aResults,
           const RpcMac& aMac,
--- a/src/runtime/sqlite.hpp
+++ b/src/runtime/sqlite.hpp
@@ -1,4 +1,4 @@
-/// SQLite's connections and statements as objects.
+/// SQLite errors and prepared statements as C++ objects.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   }
 };
 
-/// A prepared statement, run row by row.
+/// A prepared statement, executed row by row. Functions throw `SqliteError`.
 class SqliteStatement
 {
 public:
@@ -47,7 +47,8 @@
     return *this;
   }
 
-  /// @returns whether there is another row
+  /// Moves to the next row.
+  /// @returns whether there is one
   bool Step()
   {
     const int code = sqlite3_step(statement_.get());
--- a/src/runtime/watch.capnp
+++ b/src/runtime/watch.capnp
@@ -1,26 +1,27 @@
 @0xb8a2d4f0c16e7935;
-# What processes ask of a relay: changes of the store's records.
+# Requests to a relay for changes of the store's records.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("marjoramtally::wire");
 
 struct WatchAsk {
   prefix @0 :Text;
-  # The last revision that is known.
+  # The last revision that the sender knows.
   after @1 :UInt64;
-  # How long the answer may be held back while there is no change.
+  # How long the relay may hold the response while there is no change.
   waitMs @2 :UInt32;
-  # The sender understands deflated answers.
+  # The sender accepts deflated responses.
   inflates @3 :Bool;
 }
 
 struct WatchChanges {
-  # The revision up to which the changes are whole.
+  # The changes are complete up to this revision.
   revision @0 :UInt64;
   changes @1 :List(WatchChange);
-  # How long ago the store vouched for this.
+  # Time since the store last confirmed this state.
   ageMs @2 :UInt32;
-  # In place of the changes: a message of this kind, deflated, and its size.
+  # Replaces the changes: a message of this type, deflated, and its inflated
+  # size.
   packed @3 :Data;
   unpackedBytes @4 :UInt32;
 }
--- a/src/runtime/watch_messages.cpp
+++ b/src/runtime/watch_messages.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-/// Longer waits and ages are cut to this.
+/// Upper bound of waits and ages in messages.
 constexpr std::uint32_t kMaxWaitMillis = 60'000;
 
 /// Smaller messages are not deflated.
 constexpr std::size_t kMinDeflatedBytes = 1024;
-/// Records of one kind are much alike, so the fastest level does.
+/// Records of one type are very similar, so the fastest level compresses them
+/// well.
 constexpr int kDeflateLevel = Z_BEST_SPEED;
-/// Largest message that is inflated, in bytes; relays keep less.
+/// Largest message that is inflated, in bytes; the history of a relay is
+/// smaller.
 constexpr std::uint32_t kMaxInflatedBytes = 8U * 1024U * 1024U;
 
 std::uint32_t
@@ -71,7 +73,7 @@
   return impl::Flatten(builder);
 }
 
-/// @returns the message around a deflated one; empty if it cannot be deflated
+/// @returns a message that holds the deflated one; empty if deflating fails
 std::string
 Deflate(const std::string& aPlain)
 {
@@ -96,7 +98,8 @@
 {
   const auto packed = aIn.getPacked();
   if (aIn.getUnpackedBytes() > kMaxInflatedBytes) {
-    return Error{ ErrorKind::BadInput, "message of a wrong length" };
+    return Error{ ErrorKind::BadInput,
+                  "deflated message exceeds the size limit" };
   }
   std::string plain(aIn.getUnpackedBytes(), '\0');
   uLongf size = plain.size();
@@ -105,7 +108,7 @@
                  packed.begin(),
                  packed.size()) != Z_OK ||
       size != plain.size()) {
-    return Error{ ErrorKind::BadInput, "a message that cannot be inflated" };
+    return Error{ ErrorKind::BadInput, "deflated message cannot be inflated" };
   }
   return plain;
 }
--- a/tests/loopback_listener.hpp
+++ b/tests/loopback_listener.hpp
@@ -1,4 +1,4 @@
-/// A listening socket on loopback, at a port of the kernel's choice.
+/// A listening socket on loopback, at a port that the kernel chooses.
 #pragma once
 
 #include <arpa/inet.h>
@@ -7,7 +7,7 @@
 
 namespace marjoramtally::test {
 
-/// A socket that listens; whoever made it closes it.
+/// A listening socket; its owner closes it.
 struct LoopbackListener
 {
   int socket_ = -1;
@@ -20,7 +20,7 @@
   }
 };
 
-/// @param aQueue connections that may wait to be accepted
+/// @param aQueue length of the queue of connections not yet accepted
 [[nodiscard]] inline LoopbackListener
 ListenOnLoopback(int aQueue)
 {
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -16,7 +16,7 @@
 const std::string kCompleteResponse =
   "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// A listener whose connections are served by a script on one thread.
+/// A listener that runs a script on its own thread to serve connections.
 class RawServer
 {
 public:
@@ -35,7 +35,7 @@
 
   ~RawServer() { Join(); }
 
-  /// Waits for the end of the script.
+  /// Waits until the script has ended.
   void Join()
   {
     if (thread_.joinable()) {
@@ -77,8 +77,9 @@
   std::thread thread_;
 };
 
-/// An address that, like one behind a partition, never takes a connection: a
-/// listener whose queue is full, so that the kernel drops further ones.
+/// An address that never accepts a connection, like one behind a network
+/// partition: a listener whose queue is full, so that the kernel drops further
+/// connection attempts.
 class SilentAddress
 {
 public:
@@ -104,7 +105,7 @@
   SilentAddress(const SilentAddress&) = delete;
   SilentAddress& operator=(const SilentAddress&) = delete;
 
-  /// @returns a call that gives up the connection soon
+  /// @returns a call with a short connection timeout
   [[nodiscard]] HttpCall Call() const
   {
     HttpCall call;
@@ -115,7 +116,7 @@
 
 private:
   LoopbackListener listener_;
-  /// More than the queue holds.
+  /// Connections that fill the queue.
   std::array<int, 3> waiting_{};
 };
 
@@ -131,7 +132,7 @@
   return call;
 }
 
-/// Answers one request with bytes and closes.
+/// Sends the bytes as the response to one request and closes the connection.
 RawServer::Script
 AnswerOnce(std::string aBytes)
 {
@@ -143,8 +144,8 @@
   };
 }
 
-/// Answers a first request and keeps the connection, then reads a second
-/// one and closes without an answer.
+/// Answers a first request, then reads a second one on the same connection and
+/// closes it without a response.
 int
 AnswerThenClose(RawServer& aServer)
 {
@@ -169,7 +170,7 @@
   CHECK(SendAndWait(*client, call).end_ == HttpEnd::NotSent);
 }
 
-TEST_CASE("an answer that its protocol does not prove whole is broken")
+TEST_CASE("a response that its protocol does not prove complete is broken")
 {
   const std::string head = "HTTP/1.1 200 OK\r\n";
   const auto bytes = GENERATE_COPY(
@@ -182,12 +183,12 @@
   CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Broken);
 }
 
-TEST_CASE("what was sent on a dead connection is never called unsent")
+TEST_CASE("a request sent on a closed connection is never reported as not sent")
 {
   const auto client = HttpClient::Create(1);
   RawServer server([](RawServer& aServer) {
     const int connection = AnswerThenClose(aServer);
-    // The library's own second try then meets a refused connection.
+    // libcurl's own retry is then refused.
     aServer.StopListening();
     aServer.Read(connection);
     close(connection);
@@ -197,7 +198,8 @@
   CHECK(server.requests_ == 2);
 }
 
-TEST_CASE("the library sends twice on a dead connection, but not at most once")
+TEST_CASE(
+  "libcurl resends on a closed connection, except for at-most-once calls")
 {
   const bool atMostOnce = GENERATE(false, true);
   const auto client = HttpClient::Create(1);
@@ -221,7 +223,7 @@
   CHECK(server.requests_ == (atMostOnce ? 2 : 3));
 }
 
-TEST_CASE("a paused answer waits for its reader and comes whole")
+TEST_CASE("a paused response waits for its reader and is complete")
 {
   const std::string body(100'000, 'b');
   const auto client = HttpClient::Create(1);
@@ -236,7 +238,8 @@
       return true;
     }
     ++pauses;
-    // The sender's thread resumes: its order comes after the pause.
+    // `Resume` is queued on the client's thread, so it takes effect after this
+    // pause.
     while (id == 0) {
       std::this_thread::yield();
     }
@@ -256,10 +259,10 @@
   CHECK(received == body);
 }
 
-TEST_CASE("a call that was given up leaves nothing to arrive later")
+TEST_CASE("an abandoned call leaves no data to arrive later")
 {
-  // What a closed connection had not yet delivered is sent again and again by
-  // the kernel, and arrives once a partition is over; a reset drops it.
+  // After a plain close, the kernel retransmits undelivered data, which arrives
+  // when a partition ends; a reset discards it.
   std::atomic<int> error{ 0 };
   RawServer server([&error](RawServer& aServer) {
     const int connection = aServer.Accept();
@@ -279,17 +282,18 @@
   REQUIRE(error == ECONNRESET);
 }
 
-// The story: a second answer to an earlier call was taken for a later call's
-// (test_forwarder.cpp). Its receiver refused the next ones for their id, but
-// each came whole, so the connection stayed in use, one answer behind.
-TEST_CASE("a connection whose answer was not believed is not used again")
+// Guards against a connection that stays one response behind. A second response
+// to an earlier call was taken for that of a later call (see
+// test_forwarder.cpp). The receiver rejected the following ones for their id,
+// but each was complete, so the connection remained in use.
+TEST_CASE("a connection whose response was rejected is not reused")
 {
   std::atomic<bool> usedAgain{ false };
   RawServer server([&usedAgain](RawServer& aServer) {
     const int first = aServer.Accept();
     aServer.Read(first);
     RawServer::Write(first, kCompleteResponse);
-    // Ends with the connection or with a second request on it.
+    // Returns when the connection is closed or a second request arrives on it.
     aServer.Read(first);
     usedAgain = aServer.requests_ == 2;
     const int second = usedAgain ? first : aServer.Accept();
@@ -308,7 +312,7 @@
   REQUIRE_FALSE(usedAgain);
 }
 
-TEST_CASE("an interim head is not that of the answer")
+TEST_CASE("an interim head is not reported as the response's")
 {
   const auto client = HttpClient::Create(1);
   RawServer server(
@@ -347,25 +351,24 @@
   CHECK(result.localPort_ != 0);
 }
 
-// The story: callers of a route that had been added got 404 at a gateway 2.2 s
-// after the change had been accepted. The gateway had been cut off from the
-// store; for up to four seconds after the cut its watches of the configuration
-// were silent, one connection after the other, while its other calls to the
-// store were answered.
-// Cause: a connection that cannot be opened is closed without a word to the
-// loop, which went on to count its socket's number as watched. The registration
-// of the next socket with that number failed, unlogged, so that its answers
-// were read only when a time limit came. Evidence: with the failure logged,
-// each silent watch follows one at the same gateway; the answers came after 0.5
-// s or 1.3 s, the limits of a connection and of a watch.
-TEST_CASE("a connection after one that could not be opened is heard")
+// Guards against a connection whose response is read only at a time limit.
+// libcurl closes a connection that cannot be opened without notifying the loop,
+// which still counted the socket's number as registered. Registering the next
+// socket with that number then failed without a log line, so its responses were
+// read only after 0.5 s or 1.3 s, the time limits of a connection and of a
+// watch. As a result, a gateway that had been cut off from the store answered
+// 404 for an added route until 2.2 s after the change was accepted: for up to
+// four seconds its configuration watches received nothing, on one connection
+// after the other, while its other calls to the store were answered.
+TEST_CASE(
+  "a connection after one that could not be opened receives its response")
 {
   const SilentAddress silent;
   RawServer server([](RawServer& aServer) {
     const int connection = aServer.Accept();
     for (int i = 0; i < 2; ++i) {
       aServer.Read(connection);
-      // So that the client has to wait for the answer.
+      // Makes the client wait for the response.
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
       RawServer::Write(connection, kCompleteResponse);
     }
@@ -379,7 +382,7 @@
   CHECK(SendAndWait(*client, call).end_ == HttpEnd::Whole);
 }
 
-TEST_CASE("an answer that keeps coming is not given up, one that stops is")
+TEST_CASE("the idle timeout ends a response that stops, not one that continues")
 {
   const bool stops = GENERATE(false, true);
   RawServer server([stops](RawServer& aServer) {
@@ -392,7 +395,7 @@
       RawServer::Write(connection, "x");
     }
     if (stops) {
-      // Ends with the connection.
+      // Returns when the connection is closed.
       aServer.Read(connection);
     }
     close(connection);
@@ -410,7 +413,7 @@
   }
 }
 
-TEST_CASE("a call without an answer ends when its silence is over")
+TEST_CASE("a call without a response ends at its idle timeout")
 {
   RawServer server([](RawServer& aServer) {
     const int connection = aServer.Accept();
--- a/tests/test_http_server.cpp
+++ b/tests/test_http_server.cpp
@@ -1,4 +1,5 @@
-/// The server's view of its callers: who left, and whose connection is whose.
+/// Detection of callers that disconnect, and the assignment of connections to
+/// callers.
 
 #include "marjoramtally/runtime.hpp"
 
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// Keeps replies until the test uses them.
+/// Holds replies until the test uses them.
 class HeldReplies
 {
 public:
@@ -43,8 +44,8 @@
   std::deque<HttpReplyPtr> replies_;
 };
 
-/// A connection from a local port of choice.
-/// @param aPort 0 takes one of the kernel
+/// Connects from a given local port and sends one request.
+/// @param aPort 0 lets the kernel choose the port
 int
 Connect(std::uint16_t aServer, std::uint16_t aPort)
 {
@@ -75,7 +76,7 @@
   return ntohs(address.sin_port);
 }
 
-/// Closes with a reset, so that the port is free at once.
+/// Closes with a reset, so that the port can be reused at once.
 void
 Reset(int aHandle)
 {
@@ -97,7 +98,7 @@
 
 } // namespace
 
-TEST_CASE("a stream that was broken off is seen to be incomplete")
+TEST_CASE("an aborted stream is visibly incomplete")
 {
   HeldReplies held;
   HttpServerOptions options;
@@ -113,7 +114,7 @@
   close(caller);
 }
 
-TEST_CASE("a port that is used again does not hide its new connection")
+TEST_CASE("a reused port does not hide its new connection")
 {
   HeldReplies held;
   HttpServerOptions options;
@@ -125,12 +126,13 @@
   Reset(first);
   const int second = Connect(server.value()->Port(), port);
   const HttpReplyPtr reply = held.Take();
-  // The old connection ends only now, since its reply was still held.
+  // The old connection ends only now, because its reply was still held.
   old->Abort();
   old.reset();
   reply->Begin(200, {});
   reply->Chunk("part", {});
-  // The loop has ended the old one before the new one is broken off.
+  // Waits until the loop has closed the old connection, before the new one is
+  // aborted.
   std::promise<void> ended;
   options.pool_->Post(0, [&ended] { ended.set_value(); });
   ended.get_future().get();
@@ -141,7 +143,7 @@
   close(second);
 }
 
-TEST_CASE("doors can be closed from the server's own loop")
+TEST_CASE("accepting can be stopped from the server's own loop")
 {
   std::unique_ptr<HttpServer> server;
   std::atomic<bool> closed{ false };
@@ -160,7 +162,7 @@
   close(caller);
 }
 
-TEST_CASE("a caller that leaves is noticed while its request is in progress")
+TEST_CASE("a caller's disconnect is detected while its request is in progress")
 {
   HeldReplies held;
   HttpServerOptions options;
--- a/tests/test_idle_timeout.cpp
+++ b/tests/test_idle_timeout.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("a call is over its silence when no byte came in time")
+TEST_CASE("a call times out when no byte is received in time")
 {
   IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
@@ -20,7 +20,7 @@
   REQUIRE(limit.Check(kStart + 1s));
 }
 
-TEST_CASE("a byte gives a call its whole time again")
+TEST_CASE("a received byte restarts the timeout")
 {
   IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
@@ -29,27 +29,28 @@
   REQUIRE(limit.Check(kStart + 1900ms));
 }
 
-// A client that was stopped for 1.5 s of each 2 s gave up an answer whose bytes
-// came 0.3 s apart: it took its own standstill for its peer's silence.
-TEST_CASE("a process that was held up does not count that as silence")
+// Guards against a client that counts its own suspension as idle time of its
+// peer: stopped for 1.5 s of every 2 s, it abandoned a response whose bytes
+// arrived 0.3 s apart.
+TEST_CASE("a suspended process does not count that time as idle")
 {
   IdleTimeout limit{ 1s };
   limit.OnByte(kStart);
-  // Stopped from 0.5 s on.
+  // The process is suspended from 0.5 s on, so the check due at 1 s runs late.
   REQUIRE_FALSE(limit.Check(kStart + 2s));
   REQUIRE(limit.DueAt() == kStart + 3s);
-  SECTION("and the byte that was on its way counts")
+  SECTION("a byte that was in transit counts")
   {
     limit.OnByte(kStart + 2100ms);
     REQUIRE_FALSE(limit.Check(kStart + 3s));
   }
-  SECTION("and a peer that stays silent is given up")
+  SECTION("a peer that stays unresponsive times out")
   {
     REQUIRE(limit.Check(kStart + 3s));
   }
 }
 
-TEST_CASE("a call without a limit is not limited")
+TEST_CASE("a default-constructed timeout is unlimited")
 {
   REQUIRE_FALSE(IdleTimeout{}.Limited());
 }
--- a/tests/test_log_explanation.cpp
+++ b/tests/test_log_explanation.cpp
@@ -1,4 +1,4 @@
-/// From an id to the cause of its end, by the logs alone.
+/// Explaining how an id ended from the logs alone.
 
 #include "marjoramtally/runtime/log_explanation.hpp"
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a log line is read with quoted values and what collectors add")
+TEST_CASE("a log line is parsed with quoted values and a collector's prefix")
 {
   const auto line = ParseLogLine(
     R"(  1.16 front-2 time=2026-01-06T05:34:54.615 event=x why="a \"b\" = c" n=)");
@@ -45,7 +45,7 @@
   CHECK_FALSE(ParseLogLine(""));
 }
 
-TEST_CASE("a request that failed leads to the upstream that failed others")
+TEST_CASE("a failed request points to the upstream that failed others")
 {
   const LogExplanation explanation = ExplainFromLogs(
     { Line("10.000", "g1", "event=attempt_failed id=r1 upstream=u1 sent=yes"),
@@ -68,7 +68,7 @@
   CHECK_FALSE(HasFinding(explanation, "took its job over"));
 }
 
-TEST_CASE("a refusal is told apart, with what its process had lost")
+TEST_CASE("a refusal is reported with the dependency that its process had lost")
 {
   const std::vector<std::string> lines{
     Line("07.000", "g1", "event=dependency_lost dependency=store"),
@@ -88,7 +88,7 @@
   CHECK_FALSE(HasFinding(ExplainFromLogs(regained, "r1"), "had lost"));
 }
 
-TEST_CASE("an errored item leads over the owners of its job")
+TEST_CASE("an errored item is followed across the owners of its job")
 {
   const LogExplanation explanation = ExplainFromLogs(
     { Line("12.000", "g2", "event=job_claimed job=j1 last_owner=g1~1"),
@@ -100,24 +100,25 @@
     "i1");
   CHECK(explanation.ownLines_.size() == 3);
   CHECK(HasFinding(explanation,
-                   "the item was given up (why: its scorer failed), at g2"));
+                   "the item was abandoned (why: its scorer failed), at g2"));
   CHECK(HasFinding(explanation, "took its job over"));
 }
 
-TEST_CASE("an item whose run was held up by a change of weights")
+TEST_CASE("an item whose run was delayed by a change of weights")
 {
   const LogExplanation explanation = ExplainFromLogs(
     { Line("10.000", "o1", "event=order_sent upstream=u1 model=m version=4"),
       Line("11.600", "g1", "event=run_silent item=i1 upstream=u1 events=3") },
     "i1");
-  CHECK(HasFinding(explanation, "the last run seen had gone silent"));
   CHECK(
-    HasFinding(explanation, "upstream u1 was ordered to change its weights"));
+    HasFinding(explanation, "the last run in the logs stopped sending events"));
   CHECK(
-    HasFinding(explanation, "1 of its attempts were given up for slowness"));
+    HasFinding(explanation, "upstream u1 was ordered to change its weights"));
+  CHECK(HasFinding(explanation,
+                   "1 of its attempts were abandoned because they were slow"));
 }
 
-TEST_CASE("an id that no line names, and lines that are none")
+TEST_CASE("an id that no line names, and lines that cannot be parsed")
 {
   const LogExplanation explanation =
     ExplainFromLogs({ "garbage", Line("10.000", "g1", "event=started") }, "r9");
@@ -127,12 +128,12 @@
   CHECK(HasFinding(explanation, "no line names this id"));
 }
 
-TEST_CASE("lines that were left out are told as a gap")
+TEST_CASE("dropped lines are reported as a gap")
 {
   const LogExplanation explanation = ExplainFromLogs(
     { Line("10.000", "g1", "event=attempt_failed id=r1 upstream=u1"),
       "level=WARN instance=g1 event=log_lines_left_out count=7" },
     "r1");
   CHECK(HasFinding(explanation, "lines were left out"));
-  CHECK(HasFinding(explanation, "no line tells its end"));
+  CHECK(HasFinding(explanation, "no line reports its end"));
 }
--- a/tests/test_log_limit.cpp
+++ b/tests/test_log_limit.cpp
@@ -1,4 +1,4 @@
-/// Bounds on logging.
+/// Limits on logging.
 
 #include "marjoramtally/runtime/log_limit.hpp"
 
@@ -7,7 +7,7 @@
 using namespace marjoramtally;
 using namespace std::chrono_literals;
 
-TEST_CASE("lines beyond the rate are left out and counted")
+TEST_CASE("lines beyond the rate are dropped and counted")
 {
   LogLimit limit;
   const TimePoint start{ 1s };
@@ -22,7 +22,7 @@
   REQUIRE(limit.Admit(start + 1s));
 }
 
-TEST_CASE("a reader that takes nothing costs a bounded buffer")
+TEST_CASE("a reader that accepts nothing uses a bounded buffer")
 {
   LogBuffer buffer;
   const std::string line(1000, 'x');
--- a/tests/test_rpc_links.cpp
+++ b/tests/test_rpc_links.cpp
@@ -1,4 +1,4 @@
-/// Calls to peers whose connections fall silent.
+/// Calls to peers that stop answering on an open connection.
 
 #include "loopback_listener.hpp"
 #include "marjoramtally/runtime/rpc.hpp"
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("after a call that took too long the next opens a new connection")
+TEST_CASE("after a timed-out call the next one opens a new connection")
 {
   UnresponsivePeer peer;
   auto node = RpcNode::Start(
--- a/tests/test_store.cpp
+++ b/tests/test_store.cpp
@@ -1,5 +1,5 @@
-/// The contract of both stores' adapters: the same cases over the embedded
-/// one and over the platform's, met through its stand-in.
+/// The contract of the store interface: the same cases for the embedded store
+/// and for the etcd store, which uses a stand-in.
 
 #include "marjoramtally/runtime.hpp"
 #include "standins/store_standin.hpp"
@@ -14,10 +14,10 @@
 
 using namespace marjoramtally;
 
-/// Ends a test that hangs; no test depends on it.
+/// Ends a test that hangs; not reached by a passing test.
 constexpr auto kHangTimeout = std::chrono::seconds(20);
 
-/// A folder of its own, removed at the end.
+/// A temporary directory, removed on destruction.
 class TempFolder
 {
 public:
@@ -33,7 +33,7 @@
   std::filesystem::path path_;
 };
 
-/// The platform's store: its stand-in on loopback and the adapter.
+/// The etcd store with its stand-in on loopback.
 class PlatformStore
 {
 public:
@@ -57,7 +57,7 @@
   PlatformStore(const PlatformStore&) = delete;
   PlatformStore& operator=(const PlatformStore&) = delete;
 
-  /// Asks the stand-in for something that it does at once.
+  /// Sends a fault request to the stand-in, which takes effect at once.
   void RequestFault(const std::string& aFaults)
   {
     HttpCall call;
@@ -74,7 +74,7 @@
   std::unique_ptr<Store> store_;
 };
 
-/// Either adapter, by a case's generator.
+/// One of the two stores, as the test's generator selects.
 struct AnyStore
 {
   explicit AnyStore(bool aEmbedded)
@@ -95,7 +95,7 @@
   Store* store_ = nullptr;
 };
 
-/// Waits for the answer of a call.
+/// Waits for the result of a call.
 template<typename T, typename Function>
 Result<T>
 Await(Function aCall)
@@ -146,7 +146,7 @@
     .value();
 }
 
-/// Creates a key unless it is there.
+/// Creates a key if it does not exist.
 StoreTxn
 CreateOnce(std::string aKey, std::string aValue)
 {
@@ -156,11 +156,11 @@
   return txn;
 }
 
-/// Keeps what a watch is recorder.
+/// Records the events that a watch reports.
 class WatchRecorder
 {
 public:
-  void Take(const StoreWatchBatch& aBatch)
+  void Record(const StoreWatchBatch& aBatch)
   {
     {
       const std::lock_guard lock(mutex_);
@@ -192,14 +192,16 @@
 };
 
 std::function<void(const StoreWatchBatch&)>
-Into(const std::shared_ptr<WatchRecorder>& aTold)
+RecordInto(const std::shared_ptr<WatchRecorder>& aRecorder)
 {
-  return [aTold](const StoreWatchBatch& aBatch) { aTold->Take(aBatch); };
+  return
+    [aRecorder](const StoreWatchBatch& aBatch) { aRecorder->Record(aBatch); };
 }
 
 } // namespace
 
-TEST_CASE("of two compare-and-swaps from one revision one wins", "[store]")
+TEST_CASE("one of two compare-and-swaps from the same revision succeeds",
+          "[store]")
 {
   AnyStore any(GENERATE(true, false));
   Store& store = *any.store_;
@@ -222,7 +224,7 @@
   CHECK(after.modRevision_ > after.createRevision_);
 }
 
-TEST_CASE("a transaction takes effect whole or not at all", "[store]")
+TEST_CASE("a transaction takes effect completely or not at all", "[store]")
 {
   AnyStore any(GENERATE(true, false));
   Store& store = *any.store_;
@@ -238,7 +240,7 @@
   CHECK(Read(store, "/t/c").records_.empty());
 }
 
-TEST_CASE("a revoked lease takes its records with it", "[store]")
+TEST_CASE("revoking a lease removes its records", "[store]")
 {
   AnyStore any(GENERATE(true, false));
   Store& store = *any.store_;
@@ -252,7 +254,7 @@
   CHECK(KeepAlive(store, lease.id_).ttl_ == Duration::zero());
 }
 
-TEST_CASE("a watch resumes where its last one ended", "[store]")
+TEST_CASE("a watch resumes where the previous one ended", "[store]")
 {
   AnyStore any(GENERATE(true, false));
   Store& store = *any.store_;
@@ -260,7 +262,7 @@
   const auto second = Put(store, "/w/b", "1").value();
   REQUIRE(Put(store, "/other", "1").value().applied_);
   auto recorder = std::make_shared<WatchRecorder>();
-  const auto watch = store.Watch("/w/", second.revision_, Into(recorder));
+  const auto watch = store.Watch("/w/", second.revision_, RecordInto(recorder));
   CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/w/b" });
   StoreTxn txn;
   txn.deletes_.emplace_back("/w/a");
@@ -271,7 +273,7 @@
   store.StopWatch(watch);
 }
 
-TEST_CASE("an embedded lease ends by the clock", "[store]")
+TEST_CASE("a lease of the embedded store expires by the clock", "[store]")
 {
   AnyStore any(true);
   Store& store = *any.store_;
@@ -286,23 +288,23 @@
   CHECK(KeepAlive(store, lease.id_).ttl_ == Duration::zero());
 }
 
-TEST_CASE("embedded records outlast the process and are shared", "[store]")
+TEST_CASE("embedded records outlive the process and are shared", "[store]")
 {
   AnyStore any(true);
   const auto first = Commit(*any.store_, CreateOnce("/claim/a", "one"));
   const StoreLease lease = Grant(*any.store_, std::chrono::seconds(10));
   REQUIRE(Put(*any.store_, "/l/a", "1", lease.id_).value().applied_);
-  // Another process of the machine.
+  // A second process on the same machine.
   auto other = OpenEmbeddedStore(any.folder_.path_, any.clock_).value();
   CHECK_FALSE(Commit(*other, CreateOnce("/claim/a", "two")).value().applied_);
   auto recorder = std::make_shared<WatchRecorder>();
-  (void)other->Watch("/w/", first.value().revision_, Into(recorder));
+  (void)other->Watch("/w/", first.value().revision_, RecordInto(recorder));
   REQUIRE(Put(*any.store_, "/w/a", "1").value().applied_);
   CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/w/a" });
   other.reset();
   any.embedded_.reset();
-  // After a restart of the machine its clock starts anew: the lease has no
-  // more left than its whole time.
+  // After a restart of the machine its clock starts at zero again: the lease's
+  // remaining time is at most its TTL.
   ManualClock fresh;
   const auto again = OpenEmbeddedStore(any.folder_.path_, fresh).value();
   CHECK(Read(*again, "/claim/").records_.at(0).value_ == "one");
@@ -311,7 +313,7 @@
   CHECK(Put(*again, "/z", "1").value().revision_ > first.value().revision_);
 }
 
-TEST_CASE("a write whose answer is lost can be read back", "[store]")
+TEST_CASE("a write whose response is lost can be read back", "[store]")
 {
   PlatformStore platform;
   Store& store = *platform.store_;
@@ -322,7 +324,7 @@
   CHECK(Read(store, "/claim/a").records_.at(0).value_ == "token-1");
 }
 
-TEST_CASE("a store that is down runs nothing", "[store]")
+TEST_CASE("a store that is down executes nothing", "[store]")
 {
   PlatformStore platform;
   Store& store = *platform.store_;
@@ -333,7 +335,7 @@
   CHECK(Read(store, "/a").records_.empty());
 }
 
-TEST_CASE("a restart with an older state ends the watches", "[store]")
+TEST_CASE("a restart with an older state ends all watches", "[store]")
 {
   PlatformStore platform;
   Store& store = *platform.store_;
@@ -341,8 +343,8 @@
   platform.RequestFault(R"({"save":true})");
   const auto later = Put(store, "/b", "1").value();
   auto recorder = std::make_shared<WatchRecorder>();
-  (void)store.Watch("/", later.revision_, Into(recorder));
-  // The watch is open once it has recorder of the last write.
+  (void)store.Watch("/", later.revision_, RecordInto(recorder));
+  // The watch is open once it has reported the last write.
   CHECK(recorder->WaitFor(1) == std::vector<std::string>{ "+/b" });
   platform.RequestFault(R"({"restore":true})");
   CHECK(recorder->WaitForEnd());
@@ -351,7 +353,7 @@
   CHECK(range.revision_ < later.revision_);
 }
 
-TEST_CASE("faults that are not understood change nothing", "[store]")
+TEST_CASE("an unknown fault request changes nothing", "[store]")
 {
   standin::Faults faults;
   REQUIRE(faults.Set(R"({"lose_next":1})").empty());
--- a/tests/test_watch_messages.cpp
+++ b/tests/test_watch_messages.cpp
@@ -1,4 +1,4 @@
-/// What a relay tells its peers, as bytes.
+/// Encoding of the messages of a relay.
 
 #include "marjoramtally/runtime/watch_messages.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// An upstream's entry after it has loaded a version.
+/// A change of an upstream's entry after it has loaded a version.
 StoreEvent
 MakeUpstreamChange(std::uint64_t aNumber)
 {
@@ -34,10 +34,11 @@
 
 } // namespace
 
-// Upstreams changed versions two hundred times a second, and a relay sent each
-// change to 63 peers: 7 MB, which fill a link of 60 Mbit/s. Its peers heard 1.2
-// s late, and 3.9 s late in one play, that upstreams were leaving.
-TEST_CASE("what a second brings to a relay passes its link in a part of that")
+// Guards against a relay that fills its link. With 200 version changes per
+// second, each sent to 63 peers, it sent 7 MB per second, the capacity of a 60
+// Mbit/s link. Its peers learned 1.2 s late, and 3.9 s late in one simulated
+// run, that upstreams were leaving.
+TEST_CASE("the changes of one second use a quarter of a relay's link at most")
 {
   constexpr std::uint64_t kChanges = 200;
   constexpr std::size_t kPeers = 72;
@@ -55,9 +56,9 @@
           batch.events_.back().record_.value_);
 }
 
-// A process of a release that knows no deflated answers would take one for "no
-// change" and vouch for what it holds.
-TEST_CASE("answers are deflated for those only that say they understand it")
+// A process of a release without deflated responses would read one as "no
+// change" and confirm the state that it holds.
+TEST_CASE("responses are deflated only for peers that support it")
 {
   StoreWatchBatch batch;
   for (std::uint64_t i = 1; i <= 20; ++i) {
@@ -73,7 +74,8 @@
     DecodeWatchAsk(EncodeWatchAsk({ "k/", 7, {}, false })).value().inflates_);
 }
 
-TEST_CASE("a deflated message that is cut or lies of its size is an error")
+TEST_CASE(
+  "a deflated message that is truncated or has a wrong size is an error")
 {
   StoreWatchBatch batch;
   for (std::uint64_t i = 1; i <= 20; ++i) {
