--- a/include/marjoramtally/runtime/metrics.hpp
+++ b/include/marjoramtally/runtime/metrics.hpp
@@ -58,7 +58,6 @@
 
   /// Adds to a counter. Names may have labels: `requests{class="live"}`.
   void Count(const std::string& aName, std::uint64_t aDelta = 1);
-  /// Sets a gauge.
   void Set(const std::string& aName, double aValue);
   /// Records one observation of a summary.
   void Observe(const std::string& aName, double aValue);
--- a/include/marjoramtally/runtime/platform.hpp
+++ b/include/marjoramtally/runtime/platform.hpp
@@ -115,7 +115,6 @@
 /// Requests of each customer that began to run in one window of time.
 struct UsageReport
 {
-  /// The window's number.
   std::uint64_t window_ = 0;
   std::map<CustomerId, std::uint64_t> counts_;
 };
--- a/include/marjoramtally/runtime/store.hpp
+++ b/include/marjoramtally/runtime/store.hpp
@@ -14,7 +14,6 @@
 /// Identifies a lease of the store; 0 is none.
 using StoreLeaseId = std::int64_t;
 
-/// One record.
 struct StoreRecord
 {
   std::string key_;
@@ -85,7 +84,6 @@
   Duration age_{ 0 };
 };
 
-/// A granted lease.
 struct StoreLease
 {
   StoreLeaseId id_ = 0;
