--- a/src/runtime/curl_loop.cpp
+++ b/src/runtime/curl_loop.cpp
@@ -339,8 +339,8 @@
   Interest& interest = InterestOf(aSocket);
   interest.wanted_ = aWanted;
   const bool idle = aWanted == 0;
-  const bool quiet = (interest.watched_ & EPOLLOUT) == 0;
-  if (idle ? quiet : interest.watched_ == aWanted) {
+  const bool noWriteEvents = (interest.watched_ & EPOLLOUT) == 0;
+  if (idle ? noWriteEvents : interest.watched_ == aWanted) {
     return;
   }
   epoll_event event{};
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -80,10 +80,10 @@
 /// An address that never accepts a connection, like one behind a network
 /// partition: a listener whose queue is full, so that the kernel drops further
 /// connection attempts.
-class SilentAddress
+class UnreachableAddress
 {
 public:
-  SilentAddress()
+  UnreachableAddress()
     : listener_(ListenOnLoopback(0))
   {
     for (int& waiting : waiting_) {
@@ -94,7 +94,7 @@
     }
   }
 
-  ~SilentAddress()
+  ~UnreachableAddress()
   {
     for (const int waiting : waiting_) {
       close(waiting);
@@ -102,8 +102,8 @@
     close(listener_.socket_);
   }
 
-  SilentAddress(const SilentAddress&) = delete;
-  SilentAddress& operator=(const SilentAddress&) = delete;
+  UnreachableAddress(const UnreachableAddress&) = delete;
+  UnreachableAddress& operator=(const UnreachableAddress&) = delete;
 
   /// @returns a call with a short connection timeout
   [[nodiscard]] HttpCall Call() const
@@ -363,7 +363,7 @@
 TEST_CASE(
   "a connection after one that could not be opened receives its response")
 {
-  const SilentAddress silent;
+  const UnreachableAddress unreachable;
   RawServer server([](RawServer& aServer) {
     const int connection = aServer.Accept();
     for (int i = 0; i < 2; ++i) {
@@ -375,7 +375,7 @@
     close(connection);
   });
   const auto client = HttpClient::Create(1);
-  REQUIRE(SendAndWait(*client, silent.Call()).end_ == HttpEnd::NotSent);
+  REQUIRE(SendAndWait(*client, unreachable.Call()).end_ == HttpEnd::NotSent);
   HttpCall call = Post(server);
   call.connectTimeout_ = 2 * call.timeout_;
   CHECK(SendAndWait(*client, call).end_ == HttpEnd::Whole);
