--- a/examples/embed_ledger.cpp
+++ b/examples/embed_ledger.cpp
@@ -40,7 +40,7 @@
 
 /// @returns the answer to a take; empty if it is not the present one
 std::vector<Sample>
-Answer(TrainerLedger& aLedger, const TakeSpec& aTake, const Clock& aClock)
+HandleTake(TrainerLedger& aLedger, const TakeSpec& aTake, const Clock& aClock)
 {
   if (aLedger.Accept(aTake, aClock.Now()) != TakeVerdict::Current) {
     return {};
@@ -62,11 +62,12 @@
 
   // The answer to the first take is lost; the second one gets it all.
   const TakeSpec lost = trainer.Next(kVersion, kSamples);
-  const auto late = Answer(ledger, lost, clock);
+  const auto late = HandleTake(ledger, lost, clock);
   clock.Advance(std::chrono::seconds(1));
   const TakeSpec take = trainer.Next(kVersion, kSamples);
-  const auto got = trainer.OnAnswer(take.number_, Answer(ledger, take, clock));
-  ok = ok && got.size() == kSamples && trainer.IsComplete();
+  const auto received =
+    trainer.OnAnswer(take.number_, HandleTake(ledger, take, clock));
+  ok = ok && received.size() == kSamples && trainer.IsComplete();
 
   // The first answer comes after all: it is void, and nothing is doubled.
   ok = ok && late.size() == kSamples;
--- a/fuzz/fuzz_relay_messages.cpp
+++ b/fuzz/fuzz_relay_messages.cpp
@@ -10,8 +10,8 @@
 {
   using namespace marjoramtally;
   const std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
-  const auto ask = DecodeWatchAsk(bytes);
-  if (ask && !DecodeWatchAsk(EncodeWatchAsk(ask.value()))) {
+  const auto request = DecodeWatchAsk(bytes);
+  if (request && !DecodeWatchAsk(EncodeWatchAsk(request.value()))) {
     std::abort();
   }
   const auto batch = DecodeWatchBatch(bytes);
--- a/fuzz/fuzz_store.cpp
+++ b/fuzz/fuzz_store.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::array<int, 8> kStatuses{ 200, 412, 404, 410, 429, 503, 500, 0 };
 /// More calls than any operation needs: pages that never end would go on.
-constexpr int kMostCalls = 32;
+constexpr int kMaxCalls = 32;
 
 class FuzzClient final : public HttpClient
 {
@@ -38,7 +38,7 @@
   void AnswerAll(const HttpResult& aResult)
   {
     for (int calls = 0; !waiting_.empty(); ++calls) {
-      if (calls > kMostCalls) {
+      if (calls > kMaxCalls) {
         std::abort();
       }
       const HttpDone done = std::move(waiting_.front());
@@ -122,18 +122,18 @@
     std::abort();
   }
   int batches = 0;
-  bool over = false;
+  bool ended = false;
   store->Watch("p/", 5, [&](const StoreWatchBatch& aBatch) {
-    if (over) {
+    if (ended) {
       std::abort();
     }
     ++batches;
-    over = aBatch.ended_;
+    ended = aBatch.ended_;
   });
   client.AnswerAll(answer);
   timers.RunAll();
   client.AnswerAll(answer);
-  if (batches != (over ? 1 : 2)) {
+  if (batches != (ended ? 1 : 2)) {
     std::abort();
   }
   return 0;
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -20,7 +20,7 @@
 byte delayed[SENDS + 1];    /* writes of a token that may yet take effect */
 byte releases[SENDS + 1];   /* releases of a token that may yet arrive */
 byte runs = 0;
-bool lapsed = false;
+bool expired = false;
 
 inline Create(token)
 {
@@ -34,8 +34,8 @@
 #ifdef NO_DEADLINE
     :: true -> runs++
 #else
-    :: !lapsed -> runs++
-    :: lapsed -> skip
+    :: !expired -> runs++
+    :: expired -> skip
 #endif
     fi;
     assert(runs <= 1)
@@ -113,7 +113,7 @@
   Late(1)
   Late(2)
   Late(3)
-  :: atomic { !lapsed && record != 0 -> record = 0; lapsed = true }
+  :: atomic { !expired && record != 0 -> record = 0; expired = true }
   od
 }
 
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -21,7 +21,7 @@
 byte revision = 0;
 byte content = 0; /* a bit for each edit */
 byte record[REVISIONS]; /* 1 + edit of each revision; 0: none */
-bool older = false;
+bool storeRestored = false;
 
 /* commits still under way whose answers are lost */
 bool late[EDITORS];
@@ -146,7 +146,7 @@
   od
 }
 
-proctype Told() {
+proctype Follower() {
   byte restarts, seen;
 end:
   do
@@ -172,12 +172,12 @@
 }
 
 /* The store comes back as it was one revision ago. */
-proctype Older() {
+proctype StoreRestore() {
   atomic {
     if
     :: finished == EDITORS && !late[0] && !late[1] && revision > 1 &&
        inForce[0] == revision ->
-       older = true;
+       storeRestored = true;
        revision--;
        modification++
     :: true -> skip
@@ -201,7 +201,7 @@
     assert(times0 == 1 && times1 == 1);
     assert(content == 3);
     assert(inForce[0] == inForce[1]);
-    assert(older || inForce[0] == revision)
+    assert(storeRestored || inForce[0] == revision)
   }
 }
 
@@ -211,8 +211,8 @@
     run Editor(1);
     run Network();
     run Watcher();
-    run Told();
-    run Older();
+    run Follower();
+    run StoreRestore();
     run Outcome()
   }
 }
--- a/src/standins/callers.cpp
+++ b/src/standins/callers.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr std::uint64_t kMostCalls = 1'000'000;
+constexpr std::uint64_t kMaxCalls = 1'000'000;
 
 /// Makes one call and records whether it was answered in time.
 void
-CallOnce(const Options& aOptions,
+MakeCall(const Options& aOptions,
          Balancer& aBalancer,
          Recorder& aRecorder,
          TraceWriter& aTraces,
@@ -56,17 +56,18 @@
   Balancer balancer(aOptions.entries_);
   Recorder recorder(aOptions.recordFile_);
   TraceWriter traces(aOptions.traceFile_, "caller/" + aOptions.name_);
-  const Duration gap{ 1'000'000 / std::max<std::uint64_t>(aOptions.rate_, 1) };
+  const Duration interval{ 1'000'000 /
+                           std::max<std::uint64_t>(aOptions.rate_, 1) };
   constexpr std::size_t kWorkers = 16;
   std::atomic<std::uint64_t> next{ 0 };
   const auto start = std::chrono::steady_clock::now();
   const auto work = [&] {
-    for (auto number = next++; number < kMostCalls; number = next++) {
-      std::this_thread::sleep_until(start + gap * number);
+    for (auto number = next++; number < kMaxCalls; number = next++) {
+      std::this_thread::sleep_until(start + interval * number);
       if (std::filesystem::exists(aOptions.stopFile_)) {
         return;
       }
-      CallOnce(aOptions, balancer, recorder, traces, number);
+      MakeCall(aOptions, balancer, recorder, traces, number);
     }
   };
   std::vector<std::thread> workers;
--- a/src/standins/engine.cpp
+++ b/src/standins/engine.cpp
@@ -30,7 +30,7 @@
     if (!body.is_object()) {
       aReply->Send(ErrorResponse(400, "bad_input", "no JSON object"));
     } else if (aRequest.path_ == "/v1/completions") {
-      Complete(body, aReply);
+      HandleCompletion(body, aReply);
     } else if (aRequest.path_ == "/orders") {
       orders_.Handle(body, aReply);
     } else {
@@ -47,12 +47,12 @@
     return JsonResponse(200, load.dump());
   }
 
-  void Complete(const Json& aBody, const HttpReplyPtr& aReply)
+  void HandleCompletion(const Json& aBody, const HttpReplyPtr& aReply)
   {
     const std::string model = aBody.value("model", "");
-    const auto most = aBody.value("max_tokens", std::uint64_t{ 16 });
+    const auto maxTokens = aBody.value("max_tokens", std::uint64_t{ 16 });
     const std::lock_guard lock(mutex_);
-    if (!orders_.Begin(model)) {
+    if (!orders_.BeginGeneration(model)) {
       HttpResponse refusal =
         ErrorResponse(503, "no_model", "this model is not served now");
       refusal.headers_.push_back({ "X-Outcome", "refused-not-run" });
@@ -66,10 +66,11 @@
       timers_.After(Duration(options_.tokenMicros_), [] { std::_Exit(1); });
     }
     if (aBody.value("stream", false)) {
-      Stream(aBody, model, most, aReply);
+      StartStream(aBody, model, maxTokens, aReply);
       return;
     }
-    const std::uint64_t tokens = most / 2 + random_.Below(most / 2 + 1) + 1;
+    const std::uint64_t tokens =
+      maxTokens / 2 + random_.Below(maxTokens / 2 + 1) + 1;
     const std::uint64_t number = ++generations_;
     const TimePoint start = clock_.Now();
     const Duration perToken{ options_.tokenMicros_ };
@@ -79,24 +80,26 @@
                   });
   }
 
-  void Stream(const Json& aBody,
-              const std::string& aModel,
-              std::uint64_t aMost,
-              const HttpReplyPtr& aReply)
+  void StartStream(const Json& aBody,
+                   const std::string& aModel,
+                   std::uint64_t aMaxTokens,
+                   const HttpReplyPtr& aReply)
   {
     const std::uint64_t from =
       options_.noResume_ ? 0 : aBody.value("resume_from", std::uint64_t{ 0 });
-    const StreamSpec spec{ aModel, aBody.value("prompt", ""), aMost, from };
-    const auto onEnd = [this, aModel, from](bool aWhole) {
+    const StreamSpec spec{
+      aModel, aBody.value("prompt", ""), aMaxTokens, from
+    };
+    const auto onEnd = [this, aModel, from](bool aComplete) {
       {
         const std::lock_guard lock(mutex_);
         --running_;
       }
-      orders_.End(aModel);
+      orders_.EndGeneration(aModel);
       recorder_.Write({ { "kind", "stream" },
                         { "engine", options_.name_ },
                         { "from", from },
-                        { "whole", aWhole } });
+                        { "whole", aComplete } });
     };
     std::make_shared<TokenStream>(
       options_, orders_, timers_, spec, aReply, onEnd)
@@ -111,7 +114,7 @@
   {
     const std::lock_guard lock(mutex_);
     --running_;
-    orders_.End(aModel);
+    orders_.EndGeneration(aModel);
     const std::string text = aPrompt.substr(0, 40) + " ... " + options_.name_ +
                              "#" + std::to_string(aNumber);
     const Json spans = orders_.Spans(aModel, aTokens, aStart);
--- a/src/standins/engine_orders.cpp
+++ b/src/standins/engine_orders.cpp
@@ -7,8 +7,8 @@
 constexpr auto kLoadTime = std::chrono::milliseconds(30);
 constexpr auto kSwitchTime = std::chrono::milliseconds(5);
 /// How often a draining engine looks whether it is idle.
-constexpr auto kDrainLook = std::chrono::milliseconds(5);
-constexpr std::uint64_t kThousand = 1000;
+constexpr auto kDrainPollInterval = std::chrono::milliseconds(5);
+constexpr std::uint64_t kSwapFailureScale = 1000;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 }
 
 bool
-EngineOrders::Begin(const std::string& aModel)
+EngineOrders::BeginGeneration(const std::string& aModel)
 {
   const std::lock_guard lock(mutex_);
   const auto model = models_.find(aModel);
@@ -34,7 +34,7 @@
 }
 
 void
-EngineOrders::End(const std::string& aModel)
+EngineOrders::EndGeneration(const std::string& aModel)
 {
   const std::lock_guard lock(mutex_);
   --models_[aModel].running_;
@@ -83,7 +83,7 @@
 }
 
 bool
-EngineOrders::Fenced(std::uint64_t aFencing)
+EngineOrders::IsFencedOut(std::uint64_t aFencing)
 {
   const std::lock_guard lock(mutex_);
   if (!options_.ignoreFencing_ && aFencing < fencing_) {
@@ -94,17 +94,17 @@
 }
 
 bool
-EngineOrders::Fails()
+EngineOrders::ShouldFailSwap()
 {
   const std::lock_guard lock(mutex_);
-  return random_.Below(kThousand) < options_.swapFailures_;
+  return random_.Below(kSwapFailureScale) < options_.swapFailures_;
 }
 
 void
 EngineOrders::Handle(const Json& aBody, const HttpReplyPtr& aReply)
 {
   const auto fencing = aBody.value("fencing", std::uint64_t{ 0 });
-  if (Fenced(fencing)) {
+  if (IsFencedOut(fencing)) {
     aReply->Send(ErrorResponse(409, "conflict", "an old fencing number"));
     return;
   }
@@ -162,7 +162,7 @@
     aReply->Send(ErrorResponse(503, "load_failed", aResult.response_.body_));
     return;
   }
-  if (Fails()) {
+  if (ShouldFailSwap()) {
     aReply->Send(ErrorResponse(500, "swap_failed", "the load failed"));
     return;
   }
@@ -188,7 +188,7 @@
     const bool wait = model.running_ > 0 && clock_.Now() < aOrder.drainUntil_;
     model.draining_ = wait;
     if (wait) {
-      timers_.After(kDrainLook,
+      timers_.After(kDrainPollInterval,
                     [this, aOrder, aReply] { Switch(aOrder, aReply); });
       return;
     }
@@ -200,7 +200,7 @@
 void
 EngineOrders::FinishSwitch(const Order& aOrder, const HttpReplyPtr& aReply)
 {
-  const bool superseded = Fenced(aOrder.fencing_);
+  const bool superseded = IsFencedOut(aOrder.fencing_);
   {
     const std::lock_guard lock(mutex_);
     Model& model = models_[aOrder.model_];
--- a/src/standins/engine_orders.hpp
+++ b/src/standins/engine_orders.hpp
@@ -18,8 +18,8 @@
   void Handle(const Json& aBody, const HttpReplyPtr& aReply);
   /// Counts a generation in.
   /// @returns false if the model is not served now
-  [[nodiscard]] bool Begin(const std::string& aModel);
-  void End(const std::string& aModel);
+  [[nodiscard]] bool BeginGeneration(const std::string& aModel);
+  void EndGeneration(const std::string& aModel);
   /// @returns which versions a generation's tokens were made by
   [[nodiscard]] Json Spans(const std::string& aModel,
                            std::uint64_t aTokens,
@@ -54,14 +54,14 @@
 
   /// Keeps the highest number seen.
   /// @returns whether an order with this number is to be refused
-  [[nodiscard]] bool Fenced(std::uint64_t aFencing);
+  [[nodiscard]] bool IsFencedOut(std::uint64_t aFencing);
   void Load(const Order& aOrder, const HttpReplyPtr& aReply);
   void FinishLoad(const Order& aOrder,
                   const HttpResult& aResult,
                   const HttpReplyPtr& aReply);
   void Switch(const Order& aOrder, const HttpReplyPtr& aReply);
   void FinishSwitch(const Order& aOrder, const HttpReplyPtr& aReply);
-  [[nodiscard]] bool Fails();
+  [[nodiscard]] bool ShouldFailSwap();
 
   const Options& options_;
   Recorder& recorder_;
--- a/src/standins/engine_stream.cpp
+++ b/src/standins/engine_stream.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::uint64_t kWords = 4096;
+constexpr std::uint64_t kVocabularySize = 4096;
 
 std::uint64_t
 PromptHash(const std::string& aPrompt)
@@ -18,7 +18,7 @@
 TokenText(const std::string& aPrompt, std::uint64_t aIndex)
 {
   Random random(PromptHash(aPrompt) + aIndex);
-  return " w" + std::to_string(random.Below(kWords));
+  return " w" + std::to_string(random.Below(kVocabularySize));
 }
 
 TokenStream::TokenStream(const Options& aOptions,
@@ -43,18 +43,18 @@
 TokenStream::Start()
 {
   reply_->Begin(200, { { "Content-Type", "text/event-stream" } });
-  Later();
+  ScheduleNext();
 }
 
 void
-TokenStream::Later()
+TokenStream::ScheduleNext()
 {
   timers_.After(Duration(options_.tokenMicros_),
-                [self = shared_from_this()] { self->Step(); });
+                [self = shared_from_this()] { self->WriteNext(); });
 }
 
 void
-TokenStream::Step()
+TokenStream::WriteNext()
 {
   if (next_ < tokens_) {
     Write(TokenEvent());
@@ -112,7 +112,7 @@
 TokenStream::OnWritten(bool aOk)
 {
   if (aOk) {
-    Later();
+    ScheduleNext();
     return;
   }
   onEnd_(false);
--- a/src/standins/engine_stream.hpp
+++ b/src/standins/engine_stream.hpp
@@ -30,8 +30,8 @@
   void Start();
 
 private:
-  void Later();
-  void Step();
+  void ScheduleNext();
+  void WriteNext();
   void Write(const Json& aEvent);
   void OnWritten(bool aOk);
   [[nodiscard]] Json TokenEvent();
--- a/src/standins/faults.cpp
+++ b/src/standins/faults.cpp
@@ -8,15 +8,15 @@
 
 using Json = nlohmann::json;
 
-constexpr std::uint64_t kMostMillis = 600'000;
-constexpr std::uint64_t kMostLost = 1'000'000;
+constexpr std::uint64_t kMaxDelayMillis = 600'000;
+constexpr std::uint64_t kMaxLostAnswers = 1'000'000;
 
 bool
 ReadDown(const Json& aValue, FaultSettings& aOut)
 {
   const auto mode = aValue.is_string() ? aValue.get<std::string>() : "";
   aOut.down_ = mode == "refuse"   ? DownMode::Refuse
-               : mode == "silent" ? DownMode::Silent
+               : mode == "silent" ? DownMode::Unresponsive
                                   : DownMode::Up;
   return mode == "refuse" || mode == "silent" || mode == "no";
 }
@@ -24,7 +24,7 @@
 bool
 ReadMillis(const Json& aValue, Duration& aOut)
 {
-  if (!aValue.is_number_unsigned() || aValue > kMostMillis) {
+  if (!aValue.is_number_unsigned() || aValue > kMaxDelayMillis) {
     return false;
   }
   aOut = std::chrono::milliseconds(aValue.get<std::uint64_t>());
@@ -34,19 +34,19 @@
 bool
 ReadSlow(const Json& aValue, FaultSettings& aOut)
 {
-  return ReadMillis(aValue, aOut.slow_);
+  return ReadMillis(aValue, aOut.delay_);
 }
 
 bool
 ReadReorder(const Json& aValue, FaultSettings& aOut)
 {
-  return ReadMillis(aValue, aOut.reorder_);
+  return ReadMillis(aValue, aOut.maxAnswerDelay_);
 }
 
 bool
 ReadLoseNext(const Json& aValue, FaultSettings& aOut)
 {
-  if (!aValue.is_number_unsigned() || aValue > kMostLost) {
+  if (!aValue.is_number_unsigned() || aValue > kMaxLostAnswers) {
     return false;
   }
   aOut.loseNext_ = aValue.get<std::uint64_t>();
@@ -67,7 +67,7 @@
 struct FaultKey
 {
   std::string_view name_;
-  std::string_view form_;
+  std::string_view expected_;
   bool (*read_)(const Json&, FaultSettings&);
 };
 
@@ -91,7 +91,7 @@
       continue;
     }
     if (!key.read_(aValue, aOut)) {
-      aFindings.Add(place, aName + " must be " + std::string(key.form_));
+      aFindings.Add(place, aName + " must be " + std::string(key.expected_));
     }
     return;
   }
@@ -126,11 +126,12 @@
   const std::lock_guard lock(mutex_);
   FaultDecision decision;
   decision.down_ = settings_.down_;
-  decision.before_ = settings_.slow_;
-  if (settings_.reorder_ > Duration::zero()) {
-    const auto most = static_cast<std::uint64_t>(settings_.reorder_.count());
-    decision.after_ =
-      Duration{ static_cast<std::int64_t>(random_.Below(most)) };
+  decision.requestDelay_ = settings_.delay_;
+  if (settings_.maxAnswerDelay_ > Duration::zero()) {
+    const auto maxMicros =
+      static_cast<std::uint64_t>(settings_.maxAnswerDelay_.count());
+    decision.answerDelay_ =
+      Duration{ static_cast<std::int64_t>(random_.Below(maxMicros)) };
   }
   if (!aWrite || decision.down_ != DownMode::Up) {
     return decision;
--- a/src/standins/faults.hpp
+++ b/src/standins/faults.hpp
@@ -15,7 +15,7 @@
   /// Answers 503 and runs nothing.
   Refuse,
   /// Never answers and runs nothing.
-  Silent,
+  Unresponsive,
 };
 
 /// The faults in force; none by default.
@@ -23,10 +23,10 @@
 {
   DownMode down_ = DownMode::Up;
   /// Wait before a request is run.
-  Duration slow_{ 0 };
+  Duration delay_{ 0 };
   /// Longest wait, at random, between running and answering: answers pass
   /// one another.
-  Duration reorder_{ 0 };
+  Duration maxAnswerDelay_{ 0 };
   /// So many of the next writes take effect without an answer.
   std::uint64_t loseNext_ = 0;
   /// Share of writes that take effect without an answer.
@@ -37,8 +37,8 @@
 struct FaultDecision
 {
   DownMode down_ = DownMode::Up;
-  Duration before_{ 0 };
-  Duration after_{ 0 };
+  Duration requestDelay_{ 0 };
+  Duration answerDelay_{ 0 };
   bool loseAnswer_ = false;
 };
 
--- a/src/standins/instance_list.cpp
+++ b/src/standins/instance_list.cpp
@@ -10,7 +10,7 @@
 /// One change as posted.
 struct ListChange
 {
-  TimePoint shownFrom_;
+  TimePoint visibleFrom_;
   Json instance_;
 };
 
@@ -36,18 +36,18 @@
   HttpResponse Get()
   {
     const std::lock_guard lock(mutex_);
-    while (!changes_.empty() && changes_.front().shownFrom_ <= clock_.Now()) {
+    while (!changes_.empty() && changes_.front().visibleFrom_ <= clock_.Now()) {
       const Json& instance = changes_.front().instance_;
       const auto id = instance.at("id").get<std::string>();
       if (instance.value("gone", false)) {
-        shown_.erase(id);
+        visible_.erase(id);
       } else {
-        shown_[id] = instance;
+        visible_[id] = instance;
       }
       changes_.pop_front();
     }
     Json list = Json::array();
-    for (const auto& [id, instance] : shown_) {
+    for (const auto& [id, instance] : visible_) {
       list.push_back(instance);
     }
     return JsonResponse(200, Json{ { "instances", list } }.dump());
@@ -58,7 +58,7 @@
   SystemClock clock_;
   std::mutex mutex_;
   std::deque<ListChange> changes_;
-  std::map<std::string, Json> shown_;
+  std::map<std::string, Json> visible_;
 };
 
 } // namespace
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -57,7 +57,7 @@
   add("groups", po::value(&aOptions.groups_), "groups a step");
   add("group-size", po::value(&aOptions.groupSize_), "samples a group");
   add("staleness", po::value(&aOptions.staleness_), "bound in versions");
-  add("ahead", po::value(&aOptions.ahead_), "steps a trainer opens ahead");
+  add("ahead", po::value(&aOptions.stepsAhead_), "steps a trainer opens ahead");
   add("token-us", po::value(&aOptions.tokenMicros_), "time a token");
   add("service-us", po::value(&aOptions.serviceMicros_), "time a plain call");
   add("train-ms", po::value(&aOptions.trainMillis_), "time a training step");
--- a/src/standins/services.cpp
+++ b/src/standins/services.cpp
@@ -44,8 +44,8 @@
 {
 public:
   explicit WeightStore(const Options& aOptions)
-    : perSecond_(static_cast<double>(aOptions.loadRate_))
-    , tokens_(perSecond_)
+    : ratePerSecond_(static_cast<double>(aOptions.loadRate_))
+    , tokens_(ratePerSecond_)
     , recorder_(aOptions.recordFile_)
   {
   }
@@ -57,12 +57,12 @@
       stored_.insert(aRequest.path_);
       return JsonResponse(201, R"({"stored":true})");
     }
-    const bool taken = TakeToken();
+    const bool allowed = TakeToken();
     recorder_.Write({ { "kind", "load" },
                       { "path", aRequest.path_ },
                       { "at_us", clock_.Now().sinceStart_.count() },
-                      { "over_rate", !taken } });
-    if (!taken) {
+                      { "over_rate", !allowed } });
+    if (!allowed) {
       return ErrorResponse(429, "rate_limited", "too many loads a second");
     }
     return stored_.contains(aRequest.path_)
@@ -77,15 +77,15 @@
     const TimePoint now = clock_.Now();
     const auto micros = static_cast<double>((now - refilled_).count());
     refilled_ = now;
-    tokens_ = std::min(perSecond_, tokens_ + micros * perSecond_ / 1e6);
-    if (perSecond_ > 0.0 && tokens_ < 1.0) {
+    tokens_ = std::min(ratePerSecond_, tokens_ + micros * ratePerSecond_ / 1e6);
+    if (ratePerSecond_ > 0.0 && tokens_ < 1.0) {
       return false;
     }
     tokens_ -= 1.0;
     return true;
   }
 
-  double perSecond_;
+  double ratePerSecond_;
   double tokens_;
   Recorder recorder_;
   SystemClock clock_;
--- a/src/standins/standin.hpp
+++ b/src/standins/standin.hpp
@@ -39,7 +39,7 @@
   std::uint64_t groupSize_ = 4;
   std::uint64_t staleness_ = 1;
   /// Steps that a trainer opens ahead of the one that it takes.
-  std::uint64_t ahead_ = 1;
+  std::uint64_t stepsAhead_ = 1;
   std::uint64_t tokenMicros_ = 500;
   std::uint64_t serviceMicros_ = 2000;
   std::uint64_t trainMillis_ = 500;
--- a/src/standins/store_database.cpp
+++ b/src/standins/store_database.cpp
@@ -23,7 +23,7 @@
 }
 
 std::int64_t
-Number(const Json& aBody, const char* aName)
+ReadInteger(const Json& aBody, const char* aName)
 {
   const auto it = aBody.find(aName);
   if (it == aBody.end()) {
@@ -46,8 +46,8 @@
 
 Database::Database()
 {
-  constexpr auto kSweep = std::chrono::milliseconds(100);
-  timers_.Every(kSweep, [this] { ExpireLeases(); });
+  constexpr auto kLeaseCheckInterval = std::chrono::milliseconds(100);
+  timers_.Every(kLeaseCheckInterval, [this] { ExpireLeases(); });
 }
 
 bool
@@ -116,7 +116,7 @@
 }
 
 Json
-Database::RangeOf(const Json& aBody) const
+Database::FormatRange(const Json& aBody) const
 {
   const std::string from = Decode(aBody.value("key", ""));
   const std::string end = Decode(aBody.value("range_end", ""));
@@ -137,7 +137,7 @@
 HttpResponse
 Database::Range(const Json& aBody)
 {
-  return JsonResponse(200, RangeOf(aBody).dump());
+  return JsonResponse(200, FormatRange(aBody).dump());
 }
 
 void
@@ -146,7 +146,7 @@
   const std::string key = Decode(aPut.value("key", ""));
   Entry& entry = state_.entries_[key];
   entry.value_ = Decode(aPut.value("value", ""));
-  entry.lease_ = Number(aPut, "lease");
+  entry.lease_ = ReadInteger(aPut, "lease");
   entry.modRevision_ = state_.revision_;
   entry.createRevision_ =
     entry.createRevision_ == 0 ? state_.revision_ : entry.createRevision_;
@@ -158,19 +158,20 @@
 Database::ApplyDelete(const std::string& aKey)
 {
   if (state_.entries_.erase(aKey) > 0) {
-    Entry gone;
-    gone.modRevision_ = state_.revision_;
-    Publish(aKey, { { "type", "DELETE" }, { "kv", FormatEntry(aKey, gone) } });
+    Entry deleted;
+    deleted.modRevision_ = state_.revision_;
+    Publish(aKey,
+            { { "type", "DELETE" }, { "kv", FormatEntry(aKey, deleted) } });
   }
 }
 
 bool
-Database::Holds(const Json& aCompare) const
+Database::CompareHolds(const Json& aCompare) const
 {
   const auto entry = state_.entries_.find(Decode(aCompare.value("key", "")));
-  const std::int64_t has =
+  const std::int64_t actual =
     entry == state_.entries_.end() ? 0 : entry->second.modRevision_;
-  return has == Number(aCompare, "mod_revision");
+  return actual == ReadInteger(aCompare, "mod_revision");
 }
 
 HttpResponse
@@ -186,12 +187,13 @@
 {
   bool holds = true;
   for (const Json& compare : aBody.value("compare", Json::array())) {
-    holds = holds && Holds(compare);
+    holds = holds && CompareHolds(compare);
   }
   const Json steps = aBody.value(holds ? "success" : "failure", Json::array());
   for (const Json& step : steps) {
     const auto put = step.find("request_put");
-    const std::int64_t lease = put == step.end() ? 0 : Number(*put, "lease");
+    const std::int64_t lease =
+      put == step.end() ? 0 : ReadInteger(*put, "lease");
     if (lease != 0 && !state_.leases_.contains(lease)) {
       return ErrorResponse(404, "not_found", "requested lease not found");
     }
@@ -211,7 +213,7 @@
 HttpResponse
 Database::Grant(const Json& aBody)
 {
-  const std::int64_t ttl = std::max<std::int64_t>(Number(aBody, "TTL"), 1);
+  const std::int64_t ttl = std::max<std::int64_t>(ReadInteger(aBody, "TTL"), 1);
   const std::int64_t id = ++state_.lastLease_;
   state_.leases_[id] = { ttl, clock_.Now() + std::chrono::seconds(ttl) };
   return JsonResponse(200,
@@ -224,7 +226,7 @@
 HttpResponse
 Database::KeepAlive(const Json& aBody)
 {
-  const std::int64_t id = Number(aBody, "ID");
+  const std::int64_t id = ReadInteger(aBody, "ID");
   const auto lease = state_.leases_.find(id);
   Json result{ { "ID", std::to_string(id) } };
   if (lease != state_.leases_.end()) {
@@ -238,7 +240,7 @@
 HttpResponse
 Database::Revoke(const Json& aBody)
 {
-  EndLease(Number(aBody, "ID"));
+  EndLease(ReadInteger(aBody, "ID"));
   return JsonResponse(200, Json{ { "header", Header() } }.dump());
 }
 
@@ -298,7 +300,7 @@
                Decode(aCreate.value("range_end", "")),
                aReply };
   aReply->Begin(200, { { "Content-Type", "application/json" } });
-  const std::int64_t from = Number(aCreate, "start_revision");
+  const std::int64_t from = ReadInteger(aCreate, "start_revision");
   Json missed = Json::array();
   for (const Change& change : changes_) {
     if (from > 0 && change.revision_ >= from && Covers(watch, change.key_)) {
@@ -312,9 +314,9 @@
 void
 Database::Publish(const std::string& aKey, const Json& aEvent)
 {
-  constexpr std::size_t kKeptChanges = 10'000;
+  constexpr std::size_t kMaxChanges = 10'000;
   changes_.push_back({ state_.revision_, aKey, aEvent });
-  if (changes_.size() > kKeptChanges) {
+  if (changes_.size() > kMaxChanges) {
     changes_.pop_front();
   }
   for (const Watch& watch : watches_) {
--- a/src/standins/store_database.hpp
+++ b/src/standins/store_database.hpp
@@ -78,11 +78,11 @@
 
   Json Header() const;
   static Json FormatEntry(const std::string& aKey, const Entry& aEntry);
-  Json RangeOf(const Json& aBody) const;
+  Json FormatRange(const Json& aBody) const;
   HttpResponse Range(const Json& aBody);
   void ApplyPut(const Json& aPut);
   void ApplyDelete(const std::string& aKey);
-  bool Holds(const Json& aCompare) const;
+  bool CompareHolds(const Json& aCompare) const;
   HttpResponse Put(const Json& aBody);
   HttpResponse Txn(const Json& aBody);
   HttpResponse Grant(const Json& aBody);
--- a/src/standins/store_standin.cpp
+++ b/src/standins/store_standin.cpp
@@ -6,7 +6,7 @@
 StoreStandin::Handle(const HttpRequest& aRequest, const HttpReplyPtr& aReply)
 {
   if (aRequest.path_ == "/faults") {
-    aReply->Send(TakeFaults(aRequest.body_));
+    aReply->Send(HandleFaults(aRequest.body_));
   } else if (aRequest.path_ == "/metrics") {
     HttpResponse response;
     response.body_ = metrics_.Render();
@@ -35,13 +35,13 @@
 /// Faults, and `{"save":true}` and `{"restore":true}`, which keep the state
 /// and go back to it.
 HttpResponse
-StoreStandin::TakeFaults(const std::string& aText)
+StoreStandin::HandleFaults(const std::string& aText)
 {
   const Json body = Json::parse(aText, nullptr, false);
-  const bool alone = body.is_object() && body.size() == 1;
-  if (alone && body.contains("save")) {
+  const bool hasSingleKey = body.is_object() && body.size() == 1;
+  if (hasSingleKey && body.contains("save")) {
     database_.Save();
-  } else if (alone && body.contains("restore")) {
+  } else if (hasSingleKey && body.contains("restore")) {
     database_.Restore();
   } else if (const Findings findings = faults_.Set(aText); !findings.empty()) {
     return ErrorResponse(400, "bad_input", findings.Render());
@@ -57,12 +57,13 @@
   const FaultDecision decision = faults_.Decide(Database::Writes(aPath));
   if (decision.down_ == DownMode::Refuse) {
     aReply->Send(ErrorResponse(503, "unavailable", "the store is down"));
-  } else if (decision.down_ == DownMode::Silent) {
-    Hold(aReply);
-  } else if (decision.before_ > Duration::zero()) {
-    timers_.After(decision.before_, [this, aPath, aBody, aReply, decision] {
-      Serve(aPath, aBody, aReply, decision);
-    });
+  } else if (decision.down_ == DownMode::Unresponsive) {
+    HoldReply(aReply);
+  } else if (decision.requestDelay_ > Duration::zero()) {
+    timers_.After(decision.requestDelay_,
+                  [this, aPath, aBody, aReply, decision] {
+                    Serve(aPath, aBody, aReply, decision);
+                  });
   } else {
     Serve(aPath, aBody, aReply, decision);
   }
@@ -70,12 +71,12 @@
 
 /// Keeps a reply that is never sent, so that its connection stays open.
 void
-StoreStandin::Hold(const HttpReplyPtr& aReply)
+StoreStandin::HoldReply(const HttpReplyPtr& aReply)
 {
-  constexpr std::size_t kMostHeld = 10'000;
+  constexpr std::size_t kMaxHeldReplies = 10'000;
   const std::lock_guard lock(mutex_);
   held_.push_back(aReply);
-  if (held_.size() > kMostHeld) {
+  if (held_.size() > kMaxHeldReplies) {
     held_.pop_front();
   }
 }
@@ -99,9 +100,9 @@
                      const FaultDecision& aDecision)
 {
   if (aDecision.loseAnswer_) {
-    Hold(aReply);
-  } else if (aDecision.after_ > Duration::zero()) {
-    timers_.After(aDecision.after_,
+    HoldReply(aReply);
+  } else if (aDecision.answerDelay_ > Duration::zero()) {
+    timers_.After(aDecision.answerDelay_,
                   [aReply, response = std::move(aResponse)]() mutable {
                     aReply->Send(std::move(response));
                   });
--- a/src/standins/store_standin.hpp
+++ b/src/standins/store_standin.hpp
@@ -19,7 +19,7 @@
   void Handle(const HttpRequest& aRequest, const HttpReplyPtr& aReply);
 
 private:
-  HttpResponse TakeFaults(const std::string& aText);
+  HttpResponse HandleFaults(const std::string& aText);
   void CountCall(const std::string& aPath, const Json& aBody);
   void ServeWithFaults(const std::string& aPath,
                        const Json& aBody,
@@ -31,7 +31,7 @@
   void Answer(const HttpReplyPtr& aReply,
               HttpResponse aResponse,
               const FaultDecision& aDecision);
-  void Hold(const HttpReplyPtr& aReply);
+  void HoldReply(const HttpReplyPtr& aReply);
 
   Faults faults_;
   Metrics metrics_;
--- a/src/standins/trainer.cpp
+++ b/src/standins/trainer.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr auto kRetryPause = std::chrono::milliseconds(50);
+constexpr auto kRetryDelay = std::chrono::milliseconds(50);
 constexpr std::uint64_t kTakeWaitMillis = 2000;
 constexpr std::uint64_t kSamplesPerTake = 32;
-constexpr std::uint64_t kTokens = 64;
+constexpr std::uint64_t kMaxTokens = 64;
 constexpr Duration::rep kMicrosPerMilli = 1000;
 
 class Trainer
@@ -36,18 +36,18 @@
       std::cerr << "trainer: no prompts in " << options_.promptsFile_ << '\n';
       return kExitBadInput;
     }
-    freeSince_ = clock_.Now();
+    idleSince_ = clock_.Now();
     PublishWeights();
     for (std::uint64_t step = 1; step <= options_.steps_; ++step) {
       TakeStep(step);
       std::this_thread::sleep_for(
         std::chrono::milliseconds(options_.trainMillis_));
-      freeSince_ = clock_.Now();
+      idleSince_ = clock_.Now();
       ++version_;
       PublishWeights();
     }
     recorder_.Write({ { "kind", "trainer_end" },
-                      { "idle_ms", idle_.count() / kMicrosPerMilli },
+                      { "idle_ms", totalIdle_.count() / kMicrosPerMilli },
                       { "gap_ms", longestGap_.count() / kMicrosPerMilli } });
     return kExitOk;
   }
@@ -71,14 +71,15 @@
     call.url_ = "http://" + options_.weightStore_ + "/weights/" +
                 options_.model_ + "/" + std::to_string(version_);
     while (SendAndWait(*client_, call).end_ != HttpEnd::Whole) {
-      std::this_thread::sleep_for(kRetryPause);
+      std::this_thread::sleep_for(kRetryDelay);
     }
-    Insist("announce", { { "version", version_ } });
+    SendUntilAnswered("announce", { { "version", version_ } });
   }
 
   /// Sends an operation until it is answered with success or with a status
   /// that the caller handles.
-  std::pair<int, Json> Insist(const std::string& aOperation, const Json& aBody)
+  std::pair<int, Json> SendUntilAnswered(const std::string& aOperation,
+                                         const Json& aBody)
   {
     while (true) {
       HttpCall call;
@@ -90,7 +91,7 @@
       if (result.end_ == HttpEnd::Whole && (status == 200 || status == 404)) {
         return { status, Json::parse(result.response_.body_, nullptr, false) };
       }
-      std::this_thread::sleep_for(kRetryPause);
+      std::this_thread::sleep_for(kRetryDelay);
     }
   }
 
@@ -105,7 +106,7 @@
     return { { "step", aStep },
              { "version", aVersion },
              { "group_size", options_.groupSize_ },
-             { "max_tokens", kTokens },
+             { "max_tokens", kMaxTokens },
              { "prompts", prompts } };
   }
 
@@ -113,21 +114,21 @@
   void OpenAhead(std::uint64_t aStep)
   {
     const std::uint64_t last =
-      std::min(options_.steps_, aStep + options_.ahead_);
+      std::min(options_.steps_, aStep + options_.stepsAhead_);
     for (std::uint64_t step = aStep; step <= last; ++step) {
-      const auto known =
+      const auto opened =
         open_.try_emplace(step, OpenBody(step, version_ + (step - aStep)));
-      if (known.second) {
-        Insist("open", known.first->second);
+      if (opened.second) {
+        SendUntilAnswered("open", opened.first->second);
       }
     }
   }
 
   /// Opens all steps again after their owner changed.
-  void OpenAgain()
+  void ReopenSteps()
   {
     for (const auto& [step, body] : open_) {
-      Insist("open", body);
+      SendUntilAnswered("open", body);
     }
   }
 
@@ -136,15 +137,16 @@
   bool TakeOnce(std::uint64_t aStep, IndexSet& aHeld)
   {
     ++take_;
-    const auto [status, reply] = Insist("take",
-                                        { { "step", aStep },
-                                          { "version", version_ },
-                                          { "take", take_ },
-                                          { "held", aHeld.Format() },
-                                          { "most", kSamplesPerTake },
-                                          { "wait_ms", kTakeWaitMillis } });
+    const auto [status, reply] =
+      SendUntilAnswered("take",
+                        { { "step", aStep },
+                          { "version", version_ },
+                          { "take", take_ },
+                          { "held", aHeld.Format() },
+                          { "most", kSamplesPerTake },
+                          { "wait_ms", kTakeWaitMillis } });
     if (status == 404) {
-      OpenAgain();
+      ReopenSteps();
       return false;
     }
     if (reply["take"] != take_) {
@@ -158,21 +160,21 @@
 
   void TakeStep(std::uint64_t aStep)
   {
-    TimePoint lastSample = freeSince_;
+    TimePoint lastSample = idleSince_;
     IndexSet held;
     OpenAhead(aStep);
-    const std::uint64_t all = options_.groups_ * options_.groupSize_;
-    while (held.size() < all) {
+    const std::uint64_t total = options_.groups_ * options_.groupSize_;
+    while (held.size() < total) {
       if (TakeOnce(aStep, held)) {
         const TimePoint now = clock_.Now();
         longestGap_ = std::max(longestGap_, now - lastSample);
         lastSample = now;
       }
     }
-    const Duration idle = clock_.Now() - freeSince_;
-    idle_ += idle;
+    const Duration idle = clock_.Now() - idleSince_;
+    totalIdle_ += idle;
     open_.erase(aStep);
-    Insist("close", { { "step", aStep } });
+    SendUntilAnswered("close", { { "step", aStep } });
     std::cout << "trainer " << options_.trainer_ << ": step " << aStep
               << " whole at version " << version_ << ", idle "
               << idle.count() / kMicrosPerMilli << " ms" << std::endl;
@@ -184,12 +186,12 @@
     const auto member = aSample["member"].get<std::uint64_t>();
     const auto index =
       static_cast<std::uint32_t>(group * options_.groupSize_ + member);
-    const bool fresh = aHeld.Insert(index);
+    const bool inserted = aHeld.Insert(index);
     recorder_.Write({ { "kind", "sample" },
                       { "trainer", options_.trainer_ },
                       { "step", aStep },
                       { "index", index },
-                      { "duplicate", !fresh },
+                      { "duplicate", !inserted },
                       { "text", aSample["text"] },
                       { "trainer_version", version_ },
                       { "staleness_bound", options_.staleness_ },
@@ -207,8 +209,8 @@
   std::uint64_t version_ = 1;
   std::uint64_t take_ = 0;
   /// Since then the trainer has not trained.
-  TimePoint freeSince_;
-  Duration idle_{ 0 };
+  TimePoint idleSince_;
+  Duration totalIdle_{ 0 };
   /// Longest wait for the next sample of a step.
   Duration longestGap_{ 0 };
 };
--- a/src/standins/verify.cpp
+++ b/src/standins/verify.cpp
@@ -19,7 +19,7 @@
   std::uint64_t duplicates_ = 0;
   std::uint64_t mislabelled_ = 0;
   std::uint64_t stale_ = 0;
-  std::uint64_t liveAsked_ = 0;
+  std::uint64_t liveCalls_ = 0;
   std::uint64_t liveLate_ = 0;
   std::uint64_t idleMillis_ = 0;
   std::uint64_t gapMillis_ = 0;
@@ -28,7 +28,7 @@
 };
 
 void
-TakeLine(const Json& aLine, Tally& aTally)
+AddRecord(const Json& aLine, Tally& aTally)
 {
   const std::string kind = aLine.value("kind", "");
   if (kind == "generation") {
@@ -37,7 +37,7 @@
   } else if (kind == "sample") {
     aTally.samples_.push_back(aLine);
   } else if (kind == "live") {
-    ++aTally.liveAsked_;
+    ++aTally.liveCalls_;
     aTally.liveLate_ += aLine["late"].get<bool>() ? 1 : 0;
   } else if (kind == "trainer_end") {
     aTally.idleMillis_ += aLine["idle_ms"].get<std::uint64_t>();
@@ -48,7 +48,7 @@
 }
 
 void
-JudgeSample(const Json& aSample, Tally& aTally)
+CheckSample(const Json& aSample, Tally& aTally)
 {
   const bool newIdentity = aTally.identities_
                              .emplace(aSample["step"].get<std::uint64_t>(),
@@ -85,12 +85,12 @@
     while (std::getline(file, line)) {
       const Json parsed = Json::parse(line, nullptr, false);
       if (parsed.is_object()) {
-        TakeLine(parsed, tally);
+        AddRecord(parsed, tally);
       }
     }
   }
   for (const Json& sample : tally.samples_) {
-    JudgeSample(sample, tally);
+    CheckSample(sample, tally);
   }
   const std::uint64_t expected =
     aOptions.steps_ * aOptions.groups_ * aOptions.groupSize_;
@@ -98,16 +98,16 @@
   const std::uint64_t lost = expected > unique ? expected - unique : 0;
   std::cout << "demo: samples=" << unique << " duplicates=" << tally.duplicates_
             << " lost=" << lost << " mislabelled=" << tally.mislabelled_
-            << " stale=" << tally.stale_ << " live_asked=" << tally.liveAsked_
+            << " stale=" << tally.stale_ << " live_asked=" << tally.liveCalls_
             << " live_late=" << tally.liveLate_
             << " idle_ms=" << tally.idleMillis_
             << " gap_ms=" << tally.gapMillis_
             << " staleness_max=" << tally.stalenessMax_ << '\n';
-  const bool right = unique == expected && lost == 0 &&
-                     tally.duplicates_ == 0 && tally.mislabelled_ == 0 &&
-                     tally.stale_ == 0 && tally.liveLate_ == 0 &&
-                     tally.liveAsked_ > 0 && tally.trainerEnded_;
-  return right ? kExitOk : kExitFailed;
+  const bool passed = unique == expected && lost == 0 &&
+                      tally.duplicates_ == 0 && tally.mislabelled_ == 0 &&
+                      tally.stale_ == 0 && tally.liveLate_ == 0 &&
+                      tally.liveCalls_ > 0 && tally.trainerEnded_;
+  return passed ? kExitOk : kExitFailed;
 }
 
 } // namespace marjoramtally::standin
