--- a/src/standins/balancer.hpp
+++ b/src/standins/balancer.hpp
@@ -1,12 +1,12 @@
-/// What the platform's balancer does for callers: sends each call to one of
-/// the entries, to the next if that one cannot be reached.
+/// Stand-in of the platform's load balancer: sends each call to one of the
+/// entry instances, and to the next one if a connection cannot be made.
 #pragma once
 
 #include "standins/standin.hpp"
 
 namespace marjoramtally::standin {
 
-/// Chooses entries in turn. Thread-safe.
+/// Round-robin over the entry instances. Thread-safe.
 class Balancer
 {
 public:
@@ -22,7 +22,8 @@
     }
   }
 
-  /// Sends a call to the next entry, blocking until it is answered.
+  /// Sends a call to the next entry and blocks until the call has ended.
+  /// Other entries are tried only while the call was not sent.
   HttpResult Send(HttpCall aCall)
   {
     const std::string path = aCall.url_;
--- a/src/standins/callers.cpp
+++ b/src/standins/callers.cpp
@@ -1,6 +1,5 @@
-/// Stand-in of live callers: calls at a fixed rate, arrivals do not wait
-/// for answers. A call whose entry is lost is sent again, as it is
-/// idempotent.
+/// Stand-in of live callers: an open-loop load at a fixed rate. A call that
+/// fails is sent again until its deadline, as calls are idempotent.
 
 #include "standins/balancer.hpp"
 
@@ -13,7 +12,7 @@
 
 constexpr std::uint64_t kMaxCalls = 1'000'000;
 
-/// Makes one call and records whether it was answered in time.
+/// Makes one call and records whether it was answered before its deadline.
 void
 MakeCall(const Options& aOptions,
          Balancer& aBalancer,
--- a/src/standins/engine.cpp
+++ b/src/standins/engine.cpp
@@ -1,5 +1,6 @@
-/// Stand-in of a model engine: completions that take time by the token,
-/// weight versions that change while they run, orders with fencing numbers.
+/// Stand-in of a model engine: completions whose duration is proportional to
+/// their tokens, weight versions that change during a generation, and orders
+/// with fencing numbers.
 
 #include "standins/engine_stream.hpp"
 
--- a/src/standins/engine_orders.cpp
+++ b/src/standins/engine_orders.cpp
@@ -6,8 +6,9 @@
 
 constexpr auto kLoadTime = std::chrono::milliseconds(30);
 constexpr auto kSwitchTime = std::chrono::milliseconds(5);
-/// How often a draining engine looks whether it is idle.
+/// Interval at which a draining engine checks whether it is idle.
 constexpr auto kDrainPollInterval = std::chrono::milliseconds(5);
+/// `Options::swapFailures_` is a share in thousandths.
 constexpr std::uint64_t kSwapFailureScale = 1000;
 
 } // namespace
--- a/src/standins/engine_orders.hpp
+++ b/src/standins/engine_orders.hpp
@@ -1,34 +1,34 @@
-/// The order part of the engine stand-in: weights loaded ahead, switched,
-/// roles, fencing numbers.
+/// Handles the orders that the engine stand-in receives: prefetches and
+/// switches of weights, roles, fencing numbers.
 #pragma once
 
 #include "standins/standin.hpp"
 
 namespace marjoramtally::standin {
 
-/// Weights and role of one engine. Thread-safe.
+/// Weights, role and fencing number of one engine. Thread-safe.
 class EngineOrders
 {
 public:
-  /// Both arguments outlive the object.
+  /// Both arguments must outlive the object.
   EngineOrders(const Options& aOptions, Recorder& aRecorder);
 
-  /// Takes one order: `kind` is `prefetch`, `switch` or `role`. A switch to
-  /// a version that was not loaded ahead loads it first.
+  /// Executes one order, whose `kind` is `prefetch`, `switch` or `role`. A
+  /// switch to a version that was not prefetched loads it first.
   void Handle(const Json& aBody, const HttpReplyPtr& aReply);
-  /// Counts a generation in.
-  /// @returns false if the model is not served now
+  /// Counts a generation as running.
+  /// @returns false if the model is not served or is draining
   [[nodiscard]] bool BeginGeneration(const std::string& aModel);
   void EndGeneration(const std::string& aModel);
-  /// @returns which versions a generation's tokens were made by
+  /// @returns the weight version of each token range of a generation
   [[nodiscard]] Json Spans(const std::string& aModel,
                            std::uint64_t aTokens,
                            TimePoint aStart);
-  /// Adds the versions served, the versions loaded ahead and the role.
+  /// Adds the versions served, the versions loaded last and the role.
   void Describe(Json& aLoad);
 
 private:
-  /// From `at_` on the model had this version.
+  /// The model switched to `version_` at `at_`.
   struct Swap
   {
     TimePoint at_;
@@ -39,7 +39,7 @@
     std::vector<Swap> swaps_;
     std::uint64_t loaded_ = 0;
     std::uint64_t running_ = 0;
-    /// New generations are refused until the switch.
+    /// New generations are refused until the switch is done.
     bool draining_ = false;
   };
   struct Order
@@ -48,12 +48,13 @@
     std::uint64_t version_ = 0;
     std::uint64_t fencing_ = 0;
     bool switch_ = false;
-    /// Generations in progress end on the old weights until then.
+    /// Until this time the switch waits for running generations, which finish
+    /// on the old weights.
     TimePoint drainUntil_;
   };
 
-  /// Keeps the highest number seen.
-  /// @returns whether an order with this number is to be refused
+  /// Records the highest fencing number received.
+  /// @returns whether an order with this number must be refused
   [[nodiscard]] bool IsFencedOut(std::uint64_t aFencing);
   void Load(const Order& aOrder, const HttpReplyPtr& aReply);
   void FinishLoad(const Order& aOrder,
--- a/src/standins/engine_stream.hpp
+++ b/src/standins/engine_stream.hpp
@@ -1,18 +1,18 @@
-/// Streamed generations of the engine stand-in: server-sent events, one a
-/// token, resumed by offset, cancelled when the reader goes away.
+/// Streamed generations of the engine stand-in: one server-sent event per
+/// token, resumable by offset, cancelled when the client disconnects.
 #pragma once
 
 #include "standins/engine_orders.hpp"
 
 namespace marjoramtally::standin {
 
-/// What is asked of one streamed generation.
+/// Parameters of one streamed generation.
 struct StreamSpec
 {
   std::string model_;
   std::string prompt_;
   std::uint64_t maxTokens_ = 16;
-  /// Tokens that the caller holds already.
+  /// Number of tokens that the caller already has.
   std::uint64_t from_ = 0;
 };
 
@@ -20,7 +20,8 @@
 class TokenStream : public std::enable_shared_from_this<TokenStream>
 {
 public:
-  /// @param aOnEnd called once, with whether all tokens were written
+  /// @param aOnEnd called once with true if all tokens were written, false if
+  /// the client disconnected
   TokenStream(const Options& aOptions,
               EngineOrders& aOrders,
               Timers& aTimers,
@@ -48,7 +49,8 @@
   std::uint64_t next_ = 0;
 };
 
-/// @returns the text of one token, the same at every engine
+/// Deterministic, so that every engine can resume a stream.
+/// @returns the text of one token
 [[nodiscard]] std::string
 TokenText(const std::string& aPrompt, std::uint64_t aIndex);
 
--- a/src/standins/faults.cpp
+++ b/src/standins/faults.cpp
@@ -63,7 +63,7 @@
   return true;
 }
 
-/// One key of the settings and its reader.
+/// One key of the settings, the description of its values and its reader.
 struct FaultKey
 {
   std::string_view name_;
--- a/src/standins/faults.hpp
+++ b/src/standins/faults.hpp
@@ -1,4 +1,4 @@
-/// Faults that a stand-in shows when it is asked to.
+/// Fault injection for stand-ins.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -8,32 +8,32 @@
 
 namespace marjoramtally::standin {
 
-/// What a stand-in that is down does with a request.
+/// How a stand-in that is down treats requests.
 enum class DownMode : std::uint8_t
 {
   Up,
-  /// Answers 503 and runs nothing.
+  /// Answers 503 without executing the request.
   Refuse,
-  /// Never answers and runs nothing.
+  /// Neither executes nor answers the request.
   Unresponsive,
 };
 
-/// The faults in force; none by default.
+/// The faults to inject; none by default.
 struct FaultSettings
 {
   DownMode down_ = DownMode::Up;
-  /// Wait before a request is run.
+  /// Delay before a request is executed.
   Duration delay_{ 0 };
-  /// Longest wait, at random, between running and answering: answers pass
-  /// one another.
+  /// Upper limit of a random delay between execution and answer, which
+  /// reorders answers.
   Duration maxAnswerDelay_{ 0 };
-  /// So many of the next writes take effect without an answer.
+  /// Number of upcoming writes that take effect but are not answered.
   std::uint64_t loseNext_ = 0;
-  /// Share of writes that take effect without an answer.
+  /// Share of writes (0 to 1) that take effect but are not answered.
   double loseShare_ = 0;
 };
 
-/// What happens to one request.
+/// The faults that apply to one request.
 struct FaultDecision
 {
   DownMode down_ = DownMode::Up;
@@ -42,14 +42,16 @@
   bool loseAnswer_ = false;
 };
 
-/// Decides for each request, from a fixed seed. Thread-safe.
+/// Decides which faults apply to each request, with a fixed seed.
+/// Thread-safe.
 class Faults
 {
 public:
   /// Reads `{"down":"refuse","slow_ms":5,"reorder_ms":5,"lose_next":1,
-  /// "lose_share":0.1}`; keys that are left out end that fault.
-  /// @returns the findings if a key or value is not understood; then
-  /// nothing changes
+  /// "lose_share":0.1}`; a key that is absent disables its
+  /// fault.
+  /// @returns a finding for each unknown key and invalid value; if there is
+  /// any, the settings stay unchanged
   [[nodiscard]] Findings Set(const std::string& aText);
   [[nodiscard]] FaultDecision Decide(bool aWrite);
 
--- a/src/standins/instance_list.cpp
+++ b/src/standins/instance_list.cpp
@@ -1,5 +1,5 @@
-/// Stand-in of the platform's list of live and leaving instances. What is
-/// posted to it is shown only after a lag.
+/// Stand-in of the platform's list of live and leaving instances. A posted
+/// change becomes visible only after a configured lag.
 
 #include "standins/standin.hpp"
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One change as posted.
+/// A posted change that is not yet visible.
 struct ListChange
 {
   TimePoint visibleFrom_;
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -1,4 +1,4 @@
-/// Stand-ins of the platform, engines, services, trainers and callers.
+/// Runs a stand-in of the platform, an engine, a service, a trainer or callers.
 
 #include "standins/standin.hpp"
 
@@ -12,7 +12,7 @@
 using namespace marjoramtally::standin;
 namespace po = boost::program_options;
 
-/// One mode and what runs it.
+/// A mode of the program and the function that runs it.
 struct Mode
 {
   std::string_view name_;
@@ -27,7 +27,7 @@
   { "plain", "a plain service", RunPlain },
   { "weights", "the weight store", RunWeights },
   { "scorer", "a scoring service", RunScorer },
-  { "trainer", "a trainer that takes steps", RunTrainer },
+  { "trainer", "a trainer that takes samples step by step", RunTrainer },
   { "callers", "live callers of a plain service", RunCallers },
   { "verify", "compares what trainers and engines recorded", RunVerify },
 });
@@ -39,10 +39,12 @@
   auto add = described.add_options();
   add("help", "print this text");
   add("version", "print the version");
-  add("mode", po::value(&aOptions.mode_), "what to stand in for");
+  add("mode", po::value(&aOptions.mode_), "component to stand in for");
   add("name", po::value(&aOptions.name_), "name in records");
-  add("port", po::value(&aOptions.port_), "port; 0 takes one of the kernel's");
-  add("port-file", po::value(&aOptions.portFile_), "file for the bound port");
+  add("port", po::value(&aOptions.port_), "port; 0 lets the kernel choose one");
+  add("port-file",
+      po::value(&aOptions.portFile_),
+      "file that receives the bound address");
   add("record", po::value(&aOptions.recordFile_), "file for records");
   add("records", po::value(&aOptions.records_), "folder of records");
   add("entries",
@@ -50,37 +52,58 @@
       "entry addresses, comma-separated");
   add("trainer", po::value(&aOptions.trainer_), "trainer name");
   add("model", po::value(&aOptions.model_), "model, or service for callers");
-  add("prompts", po::value(&aOptions.promptsFile_), "file, one prompt a line");
+  add("prompts",
+      po::value(&aOptions.promptsFile_),
+      "file with one prompt per line");
   add(
     "weight-store", po::value(&aOptions.weightStore_), "weight store address");
   add("steps", po::value(&aOptions.steps_), "training steps");
-  add("groups", po::value(&aOptions.groups_), "groups a step");
-  add("group-size", po::value(&aOptions.groupSize_), "samples a group");
-  add("staleness", po::value(&aOptions.staleness_), "bound in versions");
-  add("ahead", po::value(&aOptions.stepsAhead_), "steps a trainer opens ahead");
-  add("token-us", po::value(&aOptions.tokenMicros_), "time a token");
-  add("service-us", po::value(&aOptions.serviceMicros_), "time a plain call");
-  add("train-ms", po::value(&aOptions.trainMillis_), "time a training step");
-  add("lag-ms", po::value(&aOptions.lagMillis_), "of the list of instances");
-  add("rate", po::value(&aOptions.rate_), "calls a second");
-  add("deadline-ms", po::value(&aOptions.deadlineMillis_), "callers' deadline");
-  add("swap-failures", po::value(&aOptions.swapFailures_), "of 1000 swaps");
+  add("groups", po::value(&aOptions.groups_), "groups per step");
+  add("group-size", po::value(&aOptions.groupSize_), "samples per group");
+  add("staleness",
+      po::value(&aOptions.staleness_),
+      "staleness bound in versions");
+  add("ahead",
+      po::value(&aOptions.stepsAhead_),
+      "number of steps a trainer opens ahead");
+  add("token-us", po::value(&aOptions.tokenMicros_), "microseconds per token");
+  add("service-us",
+      po::value(&aOptions.serviceMicros_),
+      "microseconds per plain call");
+  add("train-ms",
+      po::value(&aOptions.trainMillis_),
+      "milliseconds per training step");
+  add("lag-ms",
+      po::value(&aOptions.lagMillis_),
+      "lag of the instance list in milliseconds");
+  add("rate", po::value(&aOptions.rate_), "calls per second");
+  add("deadline-ms",
+      po::value(&aOptions.deadlineMillis_),
+      "deadline of callers in milliseconds");
+  add("swap-failures",
+      po::value(&aOptions.swapFailures_),
+      "failures per 1000 swaps");
   add("load-rate",
       po::value(&aOptions.loadRate_),
-      "weight store's reads a second; 0 is no limit");
+      "reads per second of the weight store; 0 is unlimited");
   add("no-resume",
       po::bool_switch(&aOptions.noResume_),
-      "start streams anew instead of resuming them");
+      "restart streams instead of resuming them");
   add("crash-on",
       po::value(&aOptions.crashOn_),
-      "die of prompts that contain this text");
+      "exit on prompts that contain this text");
   add("ignore-fencing",
       po::bool_switch(&aOptions.ignoreFencing_),
-      "take any order");
-  add("trace-file", po::value(&aOptions.traceFile_), "callers' spans");
-  add("faults", po::value(&aOptions.faults_), "JSON as for POST /faults");
-  add(
-    "stop-file", po::value(&aOptions.stopFile_), "callers end once it exists");
+      "accept orders with any fencing number");
+  add("trace-file",
+      po::value(&aOptions.traceFile_),
+      "file for the spans of callers");
+  add("faults",
+      po::value(&aOptions.faults_),
+      "initial faults, JSON as for POST /faults");
+  add("stop-file",
+      po::value(&aOptions.stopFile_),
+      "callers stop once this file exists");
   return described;
 }
 
--- a/src/standins/services.cpp
+++ b/src/standins/services.cpp
@@ -39,7 +39,7 @@
 
 namespace {
 
-/// The weight store: keeps names of weights and refuses reads over its rate.
+/// Stores only the names of weights and answers 429 to reads above its rate.
 class WeightStore
 {
 public:
@@ -71,7 +71,7 @@
   }
 
 private:
-  /// A rate of 0 is none.
+  /// Token bucket; a rate of 0 means unlimited.
   bool TakeToken()
   {
     const TimePoint now = clock_.Now();
--- a/src/standins/standin.hpp
+++ b/src/standins/standin.hpp
@@ -1,5 +1,5 @@
-/// Stand-ins of what the system serves and stands on. Each is one mode of
-/// `marjoram-standin`.
+/// Stand-ins of the callers, trainers and upstreams of the system and of the
+/// platform below it. Each is a mode of `marjoram-standin`.
 #pragma once
 
 #include "marjoramtally/base.hpp"
@@ -17,53 +17,53 @@
 
 using Json = nlohmann::json;
 
-/// What the command line gave; each mode uses what it needs.
+/// Command line options; each mode uses a subset.
 struct Options
 {
   std::string mode_;
   std::string name_ = "standin";
   std::string portFile_;
   std::string recordFile_;
-  /// Comma-separated base URLs of entries.
+  /// Comma-separated `IP:port` addresses of entries.
   std::string entries_;
   std::string trainer_;
   std::string model_;
   std::string promptsFile_;
   /// `IP:port` of the weight store.
   std::string weightStore_;
-  /// Folder of record files, for `verify`.
+  /// Folder of record files, read by `verify`.
   std::string records_;
   std::uint16_t port_ = 0;
   std::uint64_t steps_ = 3;
   std::uint64_t groups_ = 32;
   std::uint64_t groupSize_ = 4;
   std::uint64_t staleness_ = 1;
-  /// Steps that a trainer opens ahead of the one that it takes.
+  /// Steps that a trainer opens ahead of the current one.
   std::uint64_t stepsAhead_ = 1;
   std::uint64_t tokenMicros_ = 500;
   std::uint64_t serviceMicros_ = 2000;
   std::uint64_t trainMillis_ = 500;
   std::uint64_t rate_ = 50;
   std::uint64_t deadlineMillis_ = 1000;
-  /// Of a thousand weight swaps, how many fail.
+  /// Failures per 1000 weight swaps.
   std::uint64_t swapFailures_ = 0;
-  /// Reads a second that the weight store allows; 0 is no limit.
+  /// Reads per second that the weight store allows; 0 is unlimited.
   std::uint64_t loadRate_ = 0;
   bool ignoreFencing_ = false;
-  /// An engine starts streams anew instead of resuming them.
+  /// Engines restart streams instead of resuming them.
   bool noResume_ = false;
-  /// An engine dies of prompts that contain this; empty is none.
+  /// Engines exit on prompts that contain this text; empty disables it.
   std::string crashOn_;
   std::string stopFile_;
-  /// How late the list of instances is.
+  /// Delay until a posted change shows in the list of instances.
   std::uint64_t lagMillis_ = 5000;
-  /// Spans are appended here; empty writes none.
+  /// File to which spans are appended; empty disables tracing.
   std::string traceFile_;
-  /// Faults in force from the start, as JSON.
+  /// Initial fault settings as JSON.
   std::string faults_ = "{}";
 };
 
-/// Appends one JSON object a line to a file. Thread-safe.
+/// Appends JSON objects to a file, one per line. Thread-safe.
 class Recorder
 {
 public:
--- a/src/standins/store.cpp
+++ b/src/standins/store.cpp
@@ -1,5 +1,5 @@
-/// Stand-in of the platform's key-value service: the part of etcd v3's JSON
-/// gateway that the system uses, in memory.
+/// Stand-in of the platform's key-value service: an in-memory subset of the
+/// JSON gateway of etcd v3.
 
 #include "standins/store_standin.hpp"
 
--- a/src/standins/store_database.hpp
+++ b/src/standins/store_database.hpp
@@ -1,12 +1,12 @@
-/// The records, leases and watches of the store's stand-in, as etcd v3's
-/// JSON gateway shows them.
+/// Records, leases and watches of the store's stand-in, with the semantics of
+/// the JSON gateway of etcd v3.
 #pragma once
 
 #include "standins/standin.hpp"
 
 namespace marjoramtally::standin {
 
-/// One record as stored.
+/// A stored record.
 struct Entry
 {
   std::string value_;
@@ -16,14 +16,14 @@
   std::int64_t lease_ = 0;
 };
 
-/// One lease as granted.
+/// A granted lease.
 struct Lease
 {
   std::int64_t ttlSeconds_ = 0;
   TimePoint expires_;
 };
 
-/// One change, kept for watches that start at an earlier revision.
+/// A change, kept for watches that start at an earlier revision.
 struct Change
 {
   std::int64_t revision_ = 0;
@@ -31,7 +31,7 @@
   Json event_;
 };
 
-/// One open watch.
+/// An open watch of one key, or of the range from `from_` up to `end_`.
 struct Watch
 {
   std::string from_;
@@ -39,23 +39,25 @@
   HttpReplyPtr reply_;
 };
 
-/// In memory; thread-safe.
+/// In-memory database. Thread-safe.
 class Database
 {
 public:
   Database();
 
-  /// @returns whether requests of that path write
+  /// @returns whether requests to this path modify records or leases
   [[nodiscard]] static bool Writes(std::string_view aPath);
-  /// @returns the key that a call is about; empty for leases
+  /// @returns the first key that a call refers to; empty for leases
   [[nodiscard]] static std::string KeyOf(const Json& aBody);
-  /// Serves one request but for watches.
+  /// Serves one request other than a watch.
   [[nodiscard]] HttpResponse Serve(const std::string& aPath, const Json& aBody);
-  /// Streams changes until the database is restored.
+  /// Streams changes, first those since the revision requested, until the
+  /// database is restored.
   void OpenWatch(const Json& aCreate, const HttpReplyPtr& aReply);
-  /// Keeps the state, for `Restore`.
+  /// Saves the state for `Restore`.
   void Save();
-  /// Goes back to the state kept, as a store restarted from a backup.
+  /// Returns to the saved state and ends all watches, like a store restarted
+  /// from a backup.
   void Restore();
 
 private:
@@ -67,7 +69,7 @@
   };
   static const std::array<Route, 6> kRoutes;
 
-  /// What a restart from a backup brings back.
+  /// The state that `Restore` brings back.
   struct State
   {
     std::int64_t revision_ = 1;
--- a/src/standins/store_standin.cpp
+++ b/src/standins/store_standin.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-/// Counts a call by its operation and by the part of the system's keys.
+/// Counts a call by its operation and by the group of keys that it refers to.
 void
 StoreStandin::CountCall(const std::string& aPath, const Json& aBody)
 {
@@ -32,8 +32,8 @@
                  (config ? "config" : "live") + "\"}");
 }
 
-/// Faults, and `{"save":true}` and `{"restore":true}`, which keep the state
-/// and go back to it.
+/// Applies fault settings. `{"save":true}` saves the state of the database and
+/// `{"restore":true}` returns to it.
 HttpResponse
 StoreStandin::HandleFaults(const std::string& aText)
 {
@@ -69,7 +69,7 @@
   }
 }
 
-/// Keeps a reply that is never sent, so that its connection stays open.
+/// Keeps a reply without sending it, so that its connection stays open.
 void
 StoreStandin::HoldReply(const HttpReplyPtr& aReply)
 {
--- a/src/standins/store_standin.hpp
+++ b/src/standins/store_standin.hpp
@@ -1,4 +1,4 @@
-/// The store's stand-in: its database behind faults and counters.
+/// Stand-in of the store: a database with fault injection and metrics.
 #pragma once
 
 #include "standins/faults.hpp"
@@ -6,12 +6,12 @@
 
 namespace marjoramtally::standin {
 
-/// Serves etcd v3's JSON gateway, and of its own `POST /faults` and
+/// Serves the JSON gateway of etcd v3 and, in addition, `POST /faults` and
 /// `GET /metrics`. Thread-safe.
 class StoreStandin
 {
 public:
-  /// @returns what is wrong with the faults given
+  /// @returns the errors in the fault settings
   [[nodiscard]] Findings SetFaults(const std::string& aText)
   {
     return faults_.Set(aText);
--- a/src/standins/trainer.cpp
+++ b/src/standins/trainer.cpp
@@ -1,6 +1,6 @@
-/// Stand-in of a trainer. It keeps the set of samples that it holds and
-/// accepts only the answer to its present take, and opens steps ahead of the
-/// one that it takes.
+/// Stand-in of a trainer. It records the set of samples that it has, accepts
+/// only the answer to its latest take and opens steps ahead of the current
+/// one.
 
 #include "standins/balancer.hpp"
 
@@ -76,8 +76,8 @@
     SendUntilAnswered("announce", { { "version", version_ } });
   }
 
-  /// Sends an operation until it is answered with success or with a status
-  /// that the caller handles.
+  /// Repeats an operation until it is answered with 200, or with 404, which
+  /// the caller handles.
   std::pair<int, Json> SendUntilAnswered(const std::string& aOperation,
                                          const Json& aBody)
   {
@@ -95,7 +95,8 @@
     }
   }
 
-  /// A step is taken at the version after that of the step before.
+  /// @param aVersion the trainer's version when it takes the step; it grows by
+  /// one with each step
   Json OpenBody(std::uint64_t aStep, std::uint64_t aVersion) const
   {
     Json prompts = Json::array();
@@ -110,7 +111,7 @@
              { "prompts", prompts } };
   }
 
-  /// Opens the present step and those that may be generated ahead of it.
+  /// Opens the current step and those that may be generated ahead of it.
   void OpenAhead(std::uint64_t aStep)
   {
     const std::uint64_t last =
@@ -124,7 +125,7 @@
     }
   }
 
-  /// Opens all steps again after their owner changed.
+  /// Opens all steps again after a change of owner.
   void ReopenSteps()
   {
     for (const auto& [step, body] : open_) {
@@ -132,8 +133,8 @@
     }
   }
 
-  /// Takes once; only the answer to the present take counts.
-  /// @returns whether samples came
+  /// Sends one take and ignores answers to earlier ones.
+  /// @returns whether samples were received
   bool TakeOnce(std::uint64_t aStep, IndexSet& aHeld)
   {
     ++take_;
@@ -176,7 +177,7 @@
     open_.erase(aStep);
     SendUntilAnswered("close", { { "step", aStep } });
     std::cout << "trainer " << options_.trainer_ << ": step " << aStep
-              << " whole at version " << version_ << ", idle "
+              << " complete at version " << version_ << ", idle "
               << idle.count() / kMicrosPerMilli << " ms" << std::endl;
   }
 
@@ -204,14 +205,14 @@
   std::unique_ptr<HttpClient> client_;
   SystemClock clock_;
   std::vector<std::string> prompts_;
-  /// Bodies that opened the steps not yet closed.
+  /// Bodies of the open requests of steps that are not closed.
   std::map<std::uint64_t, Json> open_;
   std::uint64_t version_ = 1;
   std::uint64_t take_ = 0;
-  /// Since then the trainer has not trained.
+  /// End of the last training step.
   TimePoint idleSince_;
   Duration totalIdle_{ 0 };
-  /// Longest wait for the next sample of a step.
+  /// Longest wait for further samples of a step.
   Duration longestGap_{ 0 };
 };
 
--- a/src/standins/verify.cpp
+++ b/src/standins/verify.cpp
@@ -1,4 +1,5 @@
-/// Compares what the trainer, the callers and the engines recorded.
+/// Compares the records of trainers, callers and engines: samples lost,
+/// duplicated, mislabelled or stale, and late live calls.
 
 #include "standins/standin.hpp"
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// What is counted over all records.
+/// Totals over all records.
 struct Tally
 {
   std::set<std::pair<std::uint64_t, std::uint64_t>> identities_;
