--- a/examples/embed_ledger.cpp
+++ b/examples/embed_ledger.cpp
@@ -1,6 +1,6 @@
-/// Embeds a trainer's ledger and the trainer's own rule of taking: a step is
-/// opened, its samples are generated, and an answer that is lost on its way
-/// costs nothing, as the next take says which samples the trainer holds.
+/// Embeds a trainer's ledger and the client side of taking samples: a step is
+/// opened and its samples are generated. A lost answer loses no samples, as
+/// the next take lists the samples that the trainer has.
 #include "marjoramtally/marjoramtally.hpp"
 
 #include <iostream>
@@ -24,7 +24,7 @@
   return step;
 }
 
-/// Stands for an engine: generates what the ledger wants.
+/// Plays the role of an engine: generates every sample that the ledger starts.
 void
 GenerateAll(TrainerLedger& aLedger, const Clock& aClock)
 {
@@ -38,7 +38,7 @@
   }
 }
 
-/// @returns the answer to a take; empty if it is not the present one
+/// @returns the answer to a take; empty if the take is out of date
 std::vector<Sample>
 HandleTake(TrainerLedger& aLedger, const TakeSpec& aTake, const Clock& aClock)
 {
@@ -60,7 +60,7 @@
   bool ok = ledger.Open(trainer.Spec()) == OpenVerdict::Opened;
   GenerateAll(ledger, clock);
 
-  // The answer to the first take is lost; the second one gets it all.
+  // The answer to the first take is lost; the second take returns all samples.
   const TakeSpec lost = trainer.Next(kVersion, kSamples);
   const auto late = HandleTake(ledger, lost, clock);
   clock.Advance(std::chrono::seconds(1));
@@ -69,7 +69,7 @@
     trainer.OnAnswer(take.number_, HandleTake(ledger, take, clock));
   ok = ok && received.size() == kSamples && trainer.IsComplete();
 
-  // The first answer comes after all: it is void, and nothing is doubled.
+  // The first answer arrives late: it is ignored, so no sample is duplicated.
   ok = ok && late.size() == kSamples;
   ok = ok && trainer.OnAnswer(lost.number_, late).empty();
   std::cout << (ok ? "embed_ledger: as expected\n" : "embed_ledger: wrong\n");
--- a/examples/embed_router.cpp
+++ b/examples/embed_router.cpp
@@ -1,6 +1,7 @@
-/// Embeds admission and routing: a request waits in the queue of its class,
-/// goes to the upstream with the least expected completion time, and its end
-/// is reported back. The embedder sends it; there are no sockets here.
+/// Embeds admission and routing: a request waits in the queue of its class, is
+/// routed to the upstream with the least expected completion time, and its
+/// result is reported back. Sending is left to the embedder; the example opens
+/// no sockets.
 #include "marjoramtally/marjoramtally.hpp"
 
 #include <iostream>
@@ -61,7 +62,7 @@
     ok = ok && verdict.kind_ == AdmissionVerdict::Kind::Queued;
   }
 
-  // The live request goes first though it came last.
+  // The live request is dispatched first although it arrived last.
   const QueuedRequest next = *admission.Next(kService, clock.Now());
   const UpstreamPtr picked = router.Pick(next.spec_, {}, clock.Now());
   ok = ok && next.ticket_ == TicketId{ 2 } && picked &&
@@ -69,7 +70,7 @@
   admission.Dispatch(next.ticket_, clock.Now());
   const AttemptResult done{ .sentAt_ = clock.Now() };
   router.OnSent(UpstreamId{ "abo-2" }, next.spec_, clock.Now());
-  clock.Advance(milliseconds(5)); // Here an embedder sends the request.
+  clock.Advance(milliseconds(5)); // An embedder sends the request here.
   router.OnDone(UpstreamId{ "abo-2" }, next.spec_, done, clock.Now());
   admission.Complete(next.ticket_, std::nullopt, clock.Now());
   ok = ok && admission.size() == 1;
--- a/fuzz/fuzz_claims.cpp
+++ b/fuzz/fuzz_claims.cpp
@@ -1,5 +1,5 @@
-/// Fuzz target: values of claim records and messages of suspicions as they
-/// come from the store and from peers.
+/// Decoders of claim records from the store and of suspicion updates from
+/// peers accept arbitrary bytes; a decoded claim survives a round trip.
 
 #include "marjoramtally/process.hpp"
 
--- a/fuzz/fuzz_completion_stream.cpp
+++ b/fuzz/fuzz_completion_stream.cpp
@@ -1,5 +1,5 @@
-/// Fuzz target: bytes of a streamed completion, over attempts. Whatever
-/// comes, nothing crashes, and only a stream with its final event is whole.
+/// Arbitrary bytes of a streamed completion, split into attempts, cause no
+/// crash, and a stream is complete only after its final event.
 
 #include "marjoramtally/request.hpp"
 
@@ -12,7 +12,7 @@
   std::string_view bytes(reinterpret_cast<const char*>(aData), aSize);
   CompletionStream stream;
   std::string passed;
-  // A zero byte breaks the connection: the next attempt follows.
+  // A zero byte ends the connection and starts the next attempt.
   while (!bytes.empty()) {
     const std::size_t end = std::min(bytes.find('\0'), bytes.size());
     stream.StartAttempt();
--- a/fuzz/fuzz_config_messages.cpp
+++ b/fuzz/fuzz_config_messages.cpp
@@ -1,5 +1,5 @@
-/// Any bytes given to a decoder of configuration messages yield a value or
-/// an error; a value that is encoded again is understood again.
+/// Decoders of configuration messages return a value or an error for arbitrary
+/// bytes; a decoded value can be encoded and decoded again.
 
 #include "marjoramtally/connection.hpp"
 
--- a/fuzz/fuzz_event_relay.cpp
+++ b/fuzz/fuzz_event_relay.cpp
@@ -1,6 +1,6 @@
-/// Fuzz target: bytes of an event stream over attempts. Whatever comes, what
-/// is passed on consists of whole events whose numbers have no gap, and it is
-/// the same however the bytes are cut.
+/// For arbitrary bytes of an event stream, split into attempts, the relay
+/// forwards only complete events with consecutive ids, and its output does not
+/// depend on how the bytes are split into reads.
 
 #include "marjoramtally/request.hpp"
 
@@ -11,7 +11,7 @@
 
 using namespace marjoramtally;
 
-/// A zero byte breaks the connection: the next attempt follows.
+/// A zero byte ends the connection and starts the next attempt.
 std::string
 Relay(std::string_view aBytes, std::size_t aPiece)
 {
--- a/fuzz/fuzz_platform.cpp
+++ b/fuzz/fuzz_platform.cpp
@@ -1,5 +1,5 @@
-/// Fuzz target: bodies of the users' platform as they come from its store, its
-/// upstreams and its trainers, and the records of jobs.
+/// Readers of the users' platform accept arbitrary bodies from its store, its
+/// upstreams and its trainers, and so do readers of job messages and records.
 
 #include "marjoramtally/connection/job_messages.hpp"
 #include "marjoramtally/version/job_record.hpp"
--- a/fuzz/fuzz_relay_messages.cpp
+++ b/fuzz/fuzz_relay_messages.cpp
@@ -1,5 +1,5 @@
-/// Any bytes given to a decoder of relayed watches yield a value or an error;
-/// a value that is encoded again is understood again.
+/// Decoders of relayed watches return a value or an error for arbitrary bytes;
+/// a decoded value can be encoded and decoded again.
 
 #include "marjoramtally/runtime/watch_messages.hpp"
 
--- a/fuzz/fuzz_rules.cpp
+++ b/fuzz/fuzz_rules.cpp
@@ -1,5 +1,5 @@
-/// Any texts given as a rules folder yield rules or findings with a place;
-/// a key that is set in an accepted file leaves it readable.
+/// Arbitrary texts of rules files yield rules, or findings with file and line;
+/// an accepted file stays parsable after a key is assigned in it.
 
 #include "marjoramtally/version.hpp"
 
--- a/fuzz/fuzz_store.cpp
+++ b/fuzz/fuzz_store.cpp
@@ -1,6 +1,6 @@
-/// Fuzz target: answers of the users' platform's store. Whatever it answers,
-/// each call ends once with a value or an error, and a watch that goes on has
-/// told what it saw.
+/// Arbitrary answers of the store of the users' platform: each call ends
+/// exactly once with a value or an error, and a watch reports each answer until
+/// it has ended.
 
 #include "marjoramtally/runtime/log.hpp"
 #include "platform.hpp"
@@ -11,7 +11,7 @@
 
 namespace marjoramtally {
 
-// Log lines of the store's client go nowhere here.
+// Discards the log lines of the store's client.
 void
 LogEvent(LogLevel, std::string_view, std::initializer_list<LogField>)
 {
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr std::array<int, 8> kStatuses{ 200, 412, 404, 410, 429, 503, 500, 0 };
-/// More calls than any operation needs: pages that never end would go on.
+/// More calls than any operation needs; detects endless paging.
 constexpr int kMaxCalls = 32;
 
 class FuzzClient final : public HttpClient
@@ -34,7 +34,7 @@
   void Cancel(HttpCallId) override {}
   void Resume(HttpCallId) override {}
 
-  /// Gives the same answer to all calls until none is left.
+  /// Answers all calls, including those made meanwhile, with the same result.
   void AnswerAll(const HttpResult& aResult)
   {
     for (int calls = 0; !waiting_.empty(); ++calls) {
--- a/fuzz/fuzz_units.cpp
+++ b/fuzz/fuzz_units.cpp
@@ -1,5 +1,5 @@
-/// Any text given to the readers of durations and settings yields a value or
-/// a finding; a duration that is formatted reads as the same one.
+/// Parsers of durations and settings return a value or a finding for arbitrary
+/// text; a formatted duration parses to the same value.
 
 #include "marjoramtally/base.hpp"
 
