--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The README's commands; each installs what it needs.
+# The commands of the README; each installs the packages it needs.
 BUILD ?= build
 
 .PHONY: build demo check fuzz format lint
