--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,24 +1,24 @@
-/* Claims of one idempotency key: a caller's sends of the same request at
- * instances that share nothing but the store. A send runs only after its
- * claim, a record created if absent, is proven to be there: by the answer
- * to the write, or by reading the record back and finding its own token.
+/* Claims of one idempotency key: a caller sends the same request to several
+ * instances that share only the store. A request is executed only after its
+ * claim, a record created if absent, is confirmed: by the answer to the write,
+ * or by reading the record back and finding its own token.
  *
- * The store may take a write and lose the answer, take it late, or never.
+ * The store may apply a write and lose the answer, apply it late, or never.
  * A refused send releases its claim; the release may arrive late and twice,
- * and holds only for its own token. A record lapses after a window much
- * longer than any deadline, so what was asked before it is late after it.
- * A process may stop anywhere (death or pause).
+ * and applies only to its own token. A record expires after a window much
+ * longer than any deadline, so a request sent before the expiry is past its
+ * deadline after it. A process may stop at any point (crash or pause).
  *
- * At most once: no interleaving runs the request twice.
+ * Property, at most once: no interleaving executes the request twice.
  */
 /* mutants: NO_READ_BACK NO_CLAIM RETRY_AFTER_SEND NO_DEADLINE BLIND_RELEASE */
 
 #define SENDS 3
 #define TRIES 2
 
-byte record = 0;            /* token of the claimant; 0 is absent */
-byte delayed[SENDS + 1];    /* writes of a token that may yet take effect */
-byte releases[SENDS + 1];   /* releases of a token that may yet arrive */
+byte record = 0;            /* token of the claimant; 0: absent */
+byte delayed[SENDS + 1];    /* pending writes of a token */
+byte releases[SENDS + 1];   /* pending releases of a token */
 byte runs = 0;
 bool expired = false;
 
@@ -41,7 +41,7 @@
     assert(runs <= 1)
   }
 #ifdef RETRY_AFTER_SEND
-  /* The upstream's answer is lost: it is sent once more. */
+  /* The upstream's answer is lost and the request is sent again. */
   runs++;
   assert(runs <= 1)
 #endif
@@ -86,7 +86,7 @@
 execute:
   if
   :: Run(); goto end
-  :: goto refused              /* proven not to have run, or too late */
+  :: goto refused              /* confirmed not executed, or too late */
   fi;
 refused:
   releases[token] = 2;
@@ -100,7 +100,7 @@
 #define Released(token) (record == token -> 0 : record)
 #endif
 
-/* What may reach the store late, of one token. */
+/* Writes and releases of one token that reach the store late. */
 #define Late(token) \
   :: atomic { delayed[token] > 0 -> delayed[token]--; Create(token) } \
   :: atomic { releases[token] > 0 -> releases[token]--; \
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,14 +1,14 @@
-/* Accepting and applying configuration: two editors with lost answers, a
-   watcher with a disk, an instance without one that is told and restarted,
-   and a store that comes back older.
+/* Accepting and applying configuration: two editors whose answers may be lost,
+   a watcher with a disk, a follower without one that is notified and
+   restarted, and a store that is restored from an older backup.
 
-   Holds: an accepted edit stands in the log once and its content is in the
-   manifest; what is accepted is in force everywhere in the end; what was in
-   force in an instance never goes back.
+   Properties: an accepted edit is in the log exactly once and its content is
+   in the manifest; an accepted revision is eventually in force everywhere; the
+   revision in force in an instance never decreases.
 
-   Assumed: the store comes back older only once the watcher has applied
-   what is lost (an edit that no live instance has applied is lost with the
-   store), and contents are immutable. */
+   Assumptions: the store is restored to an older state only after the watcher
+   has applied the revisions that are lost (an edit that no live instance has
+   applied is lost with the store), and contents are immutable. */
 /* mutants: APPLY_ANY BLIND_RETRY TRUST_TOP NO_COMPARE REPORT_EARLY STORE_FIRST NOT_TOLD */
 
 #define EDITORS 2
@@ -19,22 +19,22 @@
 /* the store */
 byte modification = 0;
 byte revision = 0;
-byte content = 0; /* a bit for each edit */
-byte record[REVISIONS]; /* 1 + edit of each revision; 0: none */
+byte content = 0; /* one bit per edit */
+byte record[REVISIONS]; /* 1 + edit that made the revision; 0: none */
 bool storeRestored = false;
 
-/* commits still under way whose answers are lost */
+/* pending commits whose answers are lost */
 bool late[EDITORS];
 byte lateModification[EDITORS];
 byte lateRevision[EDITORS];
 byte lateContent[EDITORS];
 
-byte accepted = 0; /* a bit for each edit reported as accepted */
+byte accepted = 0; /* one bit per edit reported as accepted */
 byte finished = 0;
 
-/* instances: 0 watches the store, 1 is told */
+/* instances: 0 watches the store, 1 follows instance 0 */
 byte inForce[2];
-byte best[2]; /* the highest ever in force there */
+byte best[2]; /* highest revision that was in force there */
 
 inline Replace(aEdit, aModification, aRevision, aContent, aApplied) {
 #ifdef NO_COMPARE
@@ -157,7 +157,7 @@
        restarts < RESTARTS ->
        restarts++;
        inForce[1] = 0;
-       /* A new instance looks at a peer and the store, then applies. */
+       /* A new instance reads from a peer and the store, then applies. */
 #ifdef STORE_FIRST
        seen = revision;
 #else
@@ -171,7 +171,7 @@
   od
 }
 
-/* The store comes back as it was one revision ago. */
+/* The store is restored to the previous revision. */
 proctype StoreRestore() {
   atomic {
     if
--- a/spec/jobs.pml
+++ b/spec/jobs.pml
@@ -1,34 +1,34 @@
-/* One job of two items: its owner lists results at positions of the store.
- * A write compares the owner's fencing number and that the position is free.
- * It may take effect with or without an answer, take effect late if its
- * comparison still holds, or never. Another process takes the job over at
- * any time by changing the fencing number, and reads what is listed only
- * after that. The first owner may be paused anywhere and go on later.
+/* A job of two items: its owner writes results to numbered positions in the
+ * store. A write compares the owner's fencing number and requires that the
+ * position is free. It may take effect with or without an answer, take effect
+ * late if its comparison still holds, or never. Another process can take over
+ * the job at any time by changing the fencing number, and reads the results
+ * only after that. The first owner may be paused at any point and resume later.
  *
- * A result that was shown to a reader stands at its position for good, and
- * no item stands at two positions.
+ * Properties: a result that a reader has seen stays at its position, and no
+ * item has two positions.
  */
 /* mutants: SHOW_EARLY NO_GUARD NO_SETTLE LOAD_FIRST */
-/* Each comparison alone suffices (-DNO_FENCE, -DNO_POSITION_CHECK hold); the
- * second stands for faults of the first. */
+/* Each comparison alone suffices (the properties hold with -DNO_FENCE and with
+ * -DNO_POSITION_CHECK); the second guards against faults of the first. */
 
 #ifdef NO_GUARD
 #define NO_FENCE
 #define NO_POSITION_CHECK
 #endif
 #ifdef LOAD_FIRST
-/* The next owner reads what is listed before it has the job. */
+/* The next owner reads the results before it has taken over the job. */
 #define NO_POSITION_CHECK
 #endif
 
 #define ITEMS 2
 #define PLACES 4
 
-byte fence = 1;           /* number of the present owner */
-byte slot[PLACES];        /* 0 is free; else 10 * owner + item */
-byte shown[PLACES];       /* what readers saw; 0 is nothing */
+byte fence = 1;           /* fencing number of the current owner */
+byte slot[PLACES];        /* 0: free; otherwise 10 * owner + item */
+byte shown[PLACES];       /* value that readers have seen; 0: none */
 
-/* The one write of each owner that may yet take effect. */
+/* The pending write of each owner. */
 bool lateSet[3];
 byte latePlace[3];
 byte lateValue[3];
@@ -72,7 +72,7 @@
   shown[place] = value
 }
 
-/* Reads what is listed: the next place, and which items are there. */
+/* Reads the results: the next free position and the items present. */
 inline Load()
 {
   place = 0;
@@ -123,21 +123,21 @@
   :: atomic { Apply(number, place, value) }        /* the answer is lost */
   :: atomic { lateSet[number] = true;
               latePlace[number] = place; lateValue[number] = value }
-  :: skip                                          /* it is lost */
+  :: skip                                          /* the write is lost */
   fi;
   atomic {
     if
     :: answered && done -> goto written
     :: !answered && tries < 3 -> goto write        /* the same write again */
-    :: !answered && tries >= 3 -> goto end         /* paused for good */
+    :: !answered && tries >= 3 -> goto end         /* paused forever */
     :: answered && !done -> skip
     fi
   }
 #ifdef NO_SETTLE
-  /* A comparison that fails is taken for a repetition. */
+  /* A failed comparison is mistaken for a repeated write. */
   atomic { shown[place] = value; goto written2 }
 #endif
-  /* Find out what the failed comparison means. */
+  /* Determine why the comparison failed. */
   atomic {
     if
     :: slot[place] == value -> goto written
@@ -182,7 +182,7 @@
   od
 }
 
-/* Whoever reads sees what is in the store, once it is there. */
+/* Readers see a result as soon as it is in the store. */
 proctype Reader()
 {
   byte place = 0;
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -1,15 +1,20 @@
-/* Orders to one upstream under a lease that lapses. Owner 1 may be paused at
- * any step and learn of the lapse late; owner 2 takes over. Requests and
- * answers are lost, delayed and reordered. The upstream either checks fencing
- * numbers or ignores them. At the end the upstream is on the wanted version
- * and not on one older than the last confirmed; nor is it when an owner takes
- * a version for confirmed. Each order is sent once: the client must not repeat
- * it on its own, as a copy could arrive after a later order of the same term.
+/* Orders to one upstream under a lease that expires. Owner 1 may be paused at
+ * any step and detect the expiry late; owner 2 takes over. Requests and
+ * answers may be lost, delayed and reordered. The upstream either checks
+ * fencing numbers or ignores them.
+ *
+ * Properties: at the end the upstream has the wanted version. Its version is
+ * never older than the last confirmed one, neither at the end nor when an
+ * owner confirms a version.
+ *
+ * Each order is sent once: the client must not retry it by itself, as a copy
+ * could arrive after a later order of the same term.
  *
  * Time is the phase of owner 1's lease: 0 orders may be sent, 1 within the
- * margin, 2 lapsed at the store, 3 waited out by the next owner. For an
- * upstream without numbers a sent order takes effect within the bound or
- * never, so phase 3 comes only after the orders of owner 1 are gone.
+ * safety margin, 2 expired at the store, 3 the next owner's waiting time has
+ * passed. At an upstream that ignores fencing numbers an order takes effect
+ * within a time bound or never, so phase 3 starts only when no orders of
+ * owner 1 are in flight.
  */
 /* mutants: NO_MARGIN NO_READ_BACK RELATIVE_ORDERS NO_FENCING_CHECK NO_ANNOUNCE NO_SETTLE_WAIT */
 
@@ -23,8 +28,8 @@
 byte phase = 0;
 bool checks;
 bool ended[3];
-byte answer[3];            /* 0 none, 1 done, 2 refused */
-byte slotTerm[SLOTS];      /* 0 free */
+byte answer[3];            /* 0: none, 1: done, 2: refused */
+byte slotTerm[SLOTS];      /* 0: free */
 byte slotVersion[SLOTS];
 
 inline Put(aTerm, aVersion)
@@ -120,7 +125,7 @@
 #endif
 again:
   if
-  :: term == 1 -> goto over   /* crashed, or paused for good */
+  :: term == 1 -> goto stopped   /* crashed, or paused forever */
   :: true
   fi;
   want = wanted;
@@ -128,7 +133,7 @@
   :: !announced -> sent = NO_CHANGE; goto send
   :: else
   fi;
-  /* read the state back */
+  /* Read the state back. */
   atomic {
     known = version;
     if
@@ -137,16 +142,16 @@
     fi
   }
   if
-  :: known >= want && want == 2 -> goto over
+  :: known >= want && want == 2 -> goto stopped
   :: known >= want && want != 2 -> (wanted == 2); goto again
   :: else -> sent = want
   fi;
 send:
-  /* checked again right before sending */
+  /* The lease is checked again right before sending. */
   atomic {
     if
     :: MAY_SEND(term) && ROOM -> answer[term] = 0; Put(term, sent)
-    :: !(MAY_SEND(term)) -> goto over
+    :: !(MAY_SEND(term)) -> goto stopped
     fi
   }
   if
@@ -156,14 +161,14 @@
     :: else -> atomic { Confirm(sent) }
     fi;
     goto again
-  :: answer[term] == 2 -> goto over
+  :: answer[term] == 2 -> goto stopped
   :: true ->                 /* the answer is lost */
 #ifdef NO_READ_BACK
     if
     :: sent == NO_CHANGE -> announced = true
     :: else -> atomic { Confirm(sent) }
       if
-      :: sent == 2 -> goto over
+      :: sent == 2 -> goto stopped
       :: else -> (wanted == 2); want = 2; sent = 2; goto send
       fi
     fi;
@@ -174,7 +179,7 @@
 #endif
     goto again
   fi;
-over:
+stopped:
   ended[term] = true
 }
 
--- a/spec/take.pml
+++ b/spec/take.pml
@@ -1,17 +1,18 @@
 /* Takes of one step: every sample reaches the trainer exactly once.
  *
- * Requests reach either owner at any moment, which covers a change of owner,
- * an owner that is paused past its lease and resumed, and two owners at once.
- * Requests and answers are lost, answers come late, an owner dies. The trainer
- * keeps the rule: one take at a time, only the answer to the present take
- * counts, the set that it holds decides, open again when told to.
- * The trainer does not look for doubles itself; the rule must prevent them.
+ * Requests may reach either owner at any time, which covers a change of owner,
+ * an owner that is paused beyond its lease and resumes, and two concurrent
+ * owners. Requests and answers are lost, answers arrive late, an owner crashes.
+ * The trainer's protocol: one take at a time; only the answer to the latest
+ * take is accepted; each take lists the samples that the trainer has; the step
+ * is opened again when an owner reports it as closed.
+ * The trainer does not check for duplicates; the protocol must prevent them.
  */
 /* mutants: NO_HELD_SET ACCEPT_OLD_ANSWER TWO_TAKES NO_REOPEN */
 
 #define OWNERS 2
 #define ALL 3 /* two samples, as a set of bits */
-/* Takes that suffice whatever happens; more mean that a sample was lost. */
+/* Sufficient number of takes in all cases; more mean that a sample was lost. */
 #define MOST_TAKES 14
 
 #ifdef ACCEPT_OLD_ANSWER
@@ -57,7 +58,7 @@
 #endif
          give = ready & (ALL - (ready & theirs));
          if
-         :: give == 0 && theirs != ALL -> /* the long poll ends with a sample */
+         :: give == 0 && theirs != ALL -> /* the long poll waits for a sample */
            give = ALL - theirs; ready = ready | give
          :: else
          fi;
@@ -124,7 +125,7 @@
            break
 #endif
          fi }
-    :: atomic { late > 0 -> late--; break } /* gives up too early */
+    :: atomic { late > 0 -> late--; break } /* times out too early */
     :: timeout -> break
     od
   od;
--- a/spec/usage.pml
+++ b/spec/usage.pml
@@ -1,25 +1,25 @@
-/* The report of one window of customers' use. Holder 1 may be paused at any
- * step and learn of the loss of its lease late; holder 2 takes over. What each
- * of them counts may differ, as gateways may have told one of them more. A
- * settling write compares the lease and that the window is not settled; its
- * answer may be lost, and it may take effect late. A report may be carried out
- * late, after those of the later holder, and its answer be lost.
+/* The usage report of one window. Holder 1 may be paused at any step and detect
+ * the loss of its lease late; holder 2 takes over. Their counts may differ, as
+ * gateways may have reported more to one of them. A write that settles the
+ * window compares the lease and requires that the window is not yet settled;
+ * its answer may be lost, and it may take effect late. A report may be
+ * processed late, after those of the later holder, and its answer may be lost.
  *
- * The platform, which refuses a lower fencing number, accepts one count of the
- * window only.
+ * Property: the platform, which refuses a lower fencing number, accepts only
+ * one count for the window.
  */
 /* mutants: NO_SETTLE SEND_OWN_COUNT NO_ABSENT_COMPARE SEND_BEFORE_ANSWER */
 
 #define NONE 0
 
-byte settled = NONE;       /* the count in the store */
-byte lease = 1;            /* the holder by the store */
-byte accepted = NONE;      /* the count that the platform took */
-byte fence = 0;            /* the highest number that the platform saw */
-/* Two settling writes and two reports may be under way for each holder, in the
- * places 1 and 2 of the first and 4 and 5 of the second. */
-byte writing[6];           /* the count of a write under way */
-byte sending[6];           /* the count of a report under way */
+byte settled = NONE;       /* count in the store */
+byte lease = 1;            /* holder according to the store */
+byte accepted = NONE;      /* count that the platform accepted */
+byte fence = 0;            /* highest fencing number that the platform received */
+/* Each holder may have two settling writes and two reports in flight, at
+ * indices 1 and 2 for holder 1 and 4 and 5 for holder 2. */
+byte writing[6];           /* count of a write in flight */
+byte sending[6];           /* count of a report in flight */
 
 inline TakeWrite(i, h)
 {
@@ -53,7 +53,7 @@
   }
 }
 
-/* Carries out writes and reports in any order, however late. */
+/* Delivers writes and reports in any order and with any delay. */
 active proctype Network()
 {
 end:
@@ -83,8 +83,9 @@
 #ifdef NO_SETTLE
   known = own;
 #else
-  /* Settles. An answer that is lost is made up for by reading; what is not
-   * there yet is written again, by then with what gateways told meanwhile. */
+  /* Settles the window. After a lost answer the holder reads the window back
+   * and, if it is not settled, writes again, with a count that may include later
+   * reports of gateways. */
   atomic {
     if
     :: settled == NONE -> writing[place] = own
@@ -107,7 +108,7 @@
 #endif
 #endif
 #endif
-  /* Sends, and again if the answer is lost. */
+  /* Sends the report, and repeats it if the answer is lost. */
   sending[place] = known;
   if
   :: sending[place + 1] = known
@@ -115,7 +116,7 @@
   fi
 }
 
-/* The lease goes over at any time. */
+/* The lease may pass to holder 2 at any time. */
 active proctype Store()
 {
   run Holder(1, 1, 2);
