--- a/src/process/usage_messages.cpp
+++ b/src/process/usage_messages.cpp
@@ -100,8 +100,7 @@
                             {} };
       if (request.window_ <= Duration{ 0 } ||
           request.now_.sinceEpoch_ < Duration{ 0 }) {
-        return Error{ ErrorKind::BadInput,
-                      "usage request without a valid window or time" };
+        return Error{ ErrorKind::BadInput, "no window or no time" };
       }
       for (const auto other : aIn.getOthers()) {
         request.others_.emplace_back(other.cStr());
