--- a/tests/test_job_intake.cpp
+++ b/tests/test_job_intake.cpp
@@ -149,7 +149,7 @@
 }
 
 TEST_CASE(
-  "a dead process's trainers move to other owners; a restart moves none")
+  "a dead process's trainers move to other owners, but a restart moves none")
 {
   OwnerPlan plan = MakeOwnerPlan("p0~1", 20);
   std::map<std::string, std::string> before;
--- a/tests/test_job_runner.cpp
+++ b/tests/test_job_runner.cpp
@@ -240,7 +240,7 @@
   REQUIRE(fix.client_.open_.empty());
 }
 
-TEST_CASE("the end of a job stops its runs; a later job reuses its texts")
+TEST_CASE("the end of a job stops its runs, and a later job reuses its texts")
 {
   JobFixture fix;
   fix.Accept(1);
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE(
-  "member updates are ordered; a leaving mark lasts for the incarnation")
+  "member updates are ordered, and a leaving mark lasts for the incarnation")
 {
   MemberTable table;
   Member member;
--- a/tests/test_request_quarantine.cpp
+++ b/tests/test_request_quarantine.cpp
@@ -251,7 +251,8 @@
   REQUIRE(gateway.client_.open_.size() == 1);
 }
 
-TEST_CASE("an item that crashes upstreams waits; other items of its job run")
+TEST_CASE(
+  "an item that crashes upstreams waits while other items of its job run")
 {
   TestJobGateway gateway(6);
   gateway.Accept(JobId{ "j1" }, { kCrashingBody, "mild1", "mild2" });
--- a/tests/test_trainer_ledger.cpp
+++ b/tests/test_trainer_ledger.cpp
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE(
-  "samples that would be too stale are not started; earlier steps go first")
+  "samples that would be too stale are not started, and earlier steps go first")
 {
   TrainerLedger ledger = MakeLedger(1);
   REQUIRE(ledger.Open(MakeStep(2, 2)) == OpenVerdict::Opened);
