--- a/fuzz/fuzz_store.cpp
+++ b/fuzz/fuzz_store.cpp
@@ -86,7 +86,7 @@
     result.end_ = HttpEnd::Broken;
     return result;
   }
-  result.end_ = HttpEnd::Whole;
+  result.end_ = HttpEnd::Complete;
   result.response_.status_ = status;
   result.response_.body_ = aBytes.substr(1);
   return result;
--- a/include/marjoramtally/runtime/http_client.hpp
+++ b/include/marjoramtally/runtime/http_client.hpp
@@ -12,7 +12,7 @@
 enum class HttpEnd
 {
   /// The complete response was received, as its length or last chunk proves.
-  Whole,
+  Complete,
   /// No byte of the request left this process.
   NotSent,
   /// Bytes were sent but no complete response was received.
@@ -58,7 +58,7 @@
 {
   HttpEnd end_ = HttpEnd::NotSent;
   HttpResponse response_;
-  /// libcurl's error message unless `end_` is `Whole`.
+  /// libcurl's error message unless `end_` is `Complete`.
   std::string message_;
   /// Local port of the connection, which distinguishes connections to the same
   /// address; 0 if there was none.
--- a/src/daemon/instance_list.cpp
+++ b/src/daemon/instance_list.cpp
@@ -82,7 +82,7 @@
   call.connectTimeout_ = settings_.storeTimeout_;
   client_.Send(std::move(call), [this](const HttpResult& aResult) {
     const bool complete =
-      aResult.end_ == HttpEnd::Whole && aResult.response_.status_ == 200;
+      aResult.end_ == HttpEnd::Complete && aResult.response_.status_ == 200;
     const auto list = complete ? ParseInstanceList(aResult.response_.body_)
                                : Result<std::vector<PlatformInstance>>(Error{
                                    ErrorKind::Unavailable, aResult.message_ });
--- a/src/programs/controld/candidate_source.cpp
+++ b/src/programs/controld/candidate_source.cpp
@@ -42,7 +42,7 @@
 std::optional<double>
 ReadReward(const HttpResult& aResult)
 {
-  if (aResult.end_ != HttpEnd::Whole || aResult.response_.status_ != 200) {
+  if (aResult.end_ != HttpEnd::Complete || aResult.response_.status_ != 200) {
     return std::nullopt;
   }
   const auto reply =
--- a/src/programs/controld/order_sender.cpp
+++ b/src/programs/controld/order_sender.cpp
@@ -93,7 +93,7 @@
 Classify(const HttpResult& aResult)
 {
   switch (aResult.end_) {
-    case HttpEnd::Whole:
+    case HttpEnd::Complete:
       return ClassifyResponse(aResult.response_);
     case HttpEnd::NotSent:
       return OrderEnd::NotSent;
@@ -137,7 +137,7 @@
   host_.Http().Send(
     std::move(call), [done = std::move(aDone)](const HttpResult& aResult) {
       const bool ok =
-        aResult.end_ == HttpEnd::Whole && aResult.response_.status_ == kOk;
+        aResult.end_ == HttpEnd::Complete && aResult.response_.status_ == kOk;
       done(ok ? ParseState(aResult.response_.body_) : std::nullopt);
     });
 }
--- a/src/programs/ctl/session.cpp
+++ b/src/programs/ctl/session.cpp
@@ -83,7 +83,7 @@
     call.headers_.push_back({ "Authorization", "Bearer " + input_.token_ });
   }
   const HttpResult result = SendAndWait(*client_, std::move(call));
-  if (result.end_ != HttpEnd::Whole || result.response_.status_ != 200) {
+  if (result.end_ != HttpEnd::Complete || result.response_.status_ != 200) {
     return std::nullopt;
   }
   return result.response_.body_;
--- a/src/programs/entryd/in_flight_request.cpp
+++ b/src/programs/entryd/in_flight_request.cpp
@@ -26,7 +26,7 @@
   if (aRequest.message_.sink_) {
     return aRequest.message_.sink_->Classify(aResult);
   }
-  if (aResult.end_ == HttpEnd::Whole) {
+  if (aResult.end_ == HttpEnd::Complete) {
     return aRequest.classify_(aResult.response_);
   }
   return aResult.end_ == HttpEnd::NotSent ? AttemptEnd::NotRun
--- a/src/programs/entryd/report_poller.cpp
+++ b/src/programs/entryd/report_poller.cpp
@@ -79,7 +79,7 @@
 void
 ReportPoller::OnReport(const UpstreamId& aId, const HttpResult& aResult)
 {
-  if (aResult.end_ != HttpEnd::Whole) {
+  if (aResult.end_ != HttpEnd::Complete) {
     return;
   }
   auto report = ParseReport(aResult.response_.body_);
--- a/src/programs/entryd/stream_relay.cpp
+++ b/src/programs/entryd/stream_relay.cpp
@@ -154,7 +154,7 @@
     aResult.response_.body_ = Json{ { "usage", usage } }.dump();
     return AttemptEnd::Complete;
   }
-  if (aResult.end_ != HttpEnd::Whole || status_ == kOk) {
+  if (aResult.end_ != HttpEnd::Complete || status_ == kOk) {
     return AttemptEnd::MaybeRun;
   }
   aResult.response_.body_ = errorBody_;
--- a/src/programs/gatewayd/forwarder.cpp
+++ b/src/programs/gatewayd/forwarder.cpp
@@ -300,7 +300,7 @@
            "attempt_ended",
            { { "id", aPending.request_.attempt_ },
              { "upstream", aPending.upstream_.Get() },
-             { "whole", aResult.end_ == HttpEnd::Whole ? "yes" : "no" },
+             { "whole", aResult.end_ == HttpEnd::Complete ? "yes" : "no" },
              { "status", std::to_string(head.status_) },
              { "names", std::string(echo.value_or("nothing")) },
              { "port", std::to_string(aResult.localPort_) },
@@ -322,7 +322,7 @@
     OnRejected(aId, *pending, aResult);
   } else if (pending->stream_) {
     OnStreamEnd(aId, *pending, std::move(aResult));
-  } else if (aResult.end_ == HttpEnd::Whole) {
+  } else if (aResult.end_ == HttpEnd::Complete) {
     OnAnswer(aId, *pending, std::move(aResult.response_));
   } else {
     OnAttemptFailed(aId, *pending, aResult.end_, aResult.message_);
--- a/src/programs/gatewayd/forwarder_streams.cpp
+++ b/src/programs/gatewayd/forwarder_streams.cpp
@@ -149,7 +149,7 @@
                        HttpResult aResult)
 {
   Stream& stream = *aPending.stream_;
-  const bool complete = aResult.end_ == HttpEnd::Whole;
+  const bool complete = aResult.end_ == HttpEnd::Complete;
   if (complete && !stream.events_) {
     OnAnswer(aId, aPending, std::move(stream.head_));
     return;
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -243,7 +243,8 @@
 JobRunner::FinishRun(const Run& aRun, OwnedJob& aJob, const HttpResult& aResult)
 {
   const TimePoint now = host_.Now();
-  const bool complete = aResult.end_ == HttpEnd::Whole && aRun.fault_.empty();
+  const bool complete =
+    aResult.end_ == HttpEnd::Complete && aRun.fault_.empty();
   if (aResult.opened_) {
     host_.Measures().Count("upstream_connections_total{for=\"items\"}");
   }
--- a/src/programs/load/http_load.cpp
+++ b/src/programs/load/http_load.cpp
@@ -129,7 +129,7 @@
     if (aResult.end_ == HttpEnd::NotSent) {
       return CallEnd::Refused;
     }
-    if (aResult.end_ != HttpEnd::Whole) {
+    if (aResult.end_ != HttpEnd::Complete) {
       return CallEnd::Unknown;
     }
     const HttpResponse& response = aResult.response_;
@@ -163,7 +163,7 @@
       call.url_ = "http://" + fault.address_ + "/faults";
       call.body_ = fault.body_;
       const HttpResult result = SendAndWait(*client, std::move(call));
-      if (result.end_ != HttpEnd::Whole || result.response_.status_ != 200) {
+      if (result.end_ != HttpEnd::Complete || result.response_.status_ != 200) {
         std::cerr << "marjoram-load: " << fault.address_
                   << " rejected the fault: " << result.message_
                   << result.response_.body_ << '\n';
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -185,7 +185,7 @@
 OrderDuty::OnState(const UpstreamId& aId, const HttpResult& aResult)
 {
   Target& target = targets_.at(aId);
-  if (aResult.end_ != HttpEnd::Whole || aResult.response_.status_ != 200) {
+  if (aResult.end_ != HttpEnd::Complete || aResult.response_.status_ != 200) {
     BackOff(target, "report not received");
     return;
   }
@@ -284,7 +284,7 @@
 {
   Target& target = targets_.at(aId);
   const int status =
-    aResult.end_ == HttpEnd::Whole ? aResult.response_.status_ : 0;
+    aResult.end_ == HttpEnd::Complete ? aResult.response_.status_ : 0;
   LogEvent(LogLevel::Info,
            "order_answered",
            { { "upstream", aId.Get() },
--- a/src/programs/orderd/usage_duty.cpp
+++ b/src/programs/orderd/usage_duty.cpp
@@ -275,7 +275,7 @@
 UsageDuty::OnReportReply(UsageWindow aWindow, const HttpResult& aResult)
 {
   sending_ = false;
-  const bool answered = aResult.end_ == HttpEnd::Whole;
+  const bool answered = aResult.end_ == HttpEnd::Complete;
   const int status = answered ? aResult.response_.status_ : 0;
   LogEvent(LogLevel::Info,
            "usage_sent",
--- a/src/runtime/curl_transfer.cpp
+++ b/src/runtime/curl_transfer.cpp
@@ -200,7 +200,7 @@
 CurlTransfer::Classify(CURLcode aCode) const
 {
   if (aCode == CURLE_OK) {
-    return HttpEnd::Whole;
+    return HttpEnd::Complete;
   }
   long sentBytes = 0;
   curl_easy_getinfo(easy_, CURLINFO_REQUEST_SIZE, &sentBytes);
@@ -219,7 +219,7 @@
 {
   HttpResult result;
   result.end_ = Classify(aCode);
-  if (result.end_ != HttpEnd::Whole) {
+  if (result.end_ != HttpEnd::Complete) {
     result.message_ = curl_easy_strerror(aCode);
   }
   long port = 0;
--- a/src/standins/callers.cpp
+++ b/src/standins/callers.cpp
@@ -36,7 +36,7 @@
     call.headers_.push_back({ "traceparent", span.context_.Format() });
     const HttpResult result = aBalancer.Send(std::move(call));
     const Json reply = Json::parse(result.response_.body_, nullptr, false);
-    answered = result.end_ == HttpEnd::Whole &&
+    answered = result.end_ == HttpEnd::Complete &&
                result.response_.status_ == 200 && reply.is_object() &&
                reply.value("echo", "") == body;
   }
--- a/src/standins/engine_orders.cpp
+++ b/src/standins/engine_orders.cpp
@@ -159,7 +159,7 @@
                          const HttpResult& aResult,
                          const HttpReplyPtr& aReply)
 {
-  if (aResult.end_ != HttpEnd::Whole || aResult.response_.status_ != 200) {
+  if (aResult.end_ != HttpEnd::Complete || aResult.response_.status_ != 200) {
     aReply->Send(ErrorResponse(503, "load_failed", aResult.response_.body_));
     return;
   }
--- a/src/standins/trainer.cpp
+++ b/src/standins/trainer.cpp
@@ -70,7 +70,7 @@
     call.method_ = "PUT";
     call.url_ = "http://" + options_.weightStore_ + "/weights/" +
                 options_.model_ + "/" + std::to_string(version_);
-    while (SendAndWait(*client_, call).end_ != HttpEnd::Whole) {
+    while (SendAndWait(*client_, call).end_ != HttpEnd::Complete) {
       std::this_thread::sleep_for(kRetryDelay);
     }
     SendUntilAnswered("announce", { { "version", version_ } });
@@ -88,7 +88,8 @@
       call.body_ = aBody.dump();
       const HttpResult result = balancer_.Send(std::move(call));
       const int status = result.response_.status_;
-      if (result.end_ == HttpEnd::Whole && (status == 200 || status == 404)) {
+      if (result.end_ == HttpEnd::Complete &&
+          (status == 200 || status == 404)) {
         return { status, Json::parse(result.response_.body_, nullptr, false) };
       }
       std::this_thread::sleep_for(kRetryDelay);
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -58,7 +58,7 @@
       }
       aResponse.body_.clear();
     }
-    aCall.done_({ HttpEnd::Whole, std::move(aResponse), {} });
+    aCall.done_({ HttpEnd::Complete, std::move(aResponse), {} });
   }
 
   void Fail(SentCall aCall, HttpEnd aEnd)
--- a/tests/test_forward_streams.cpp
+++ b/tests/test_forward_streams.cpp
@@ -67,9 +67,9 @@
   void End(HttpEnd aEnd)
   {
     SentCall call = client_.open_.front();
-    if (aEnd == HttpEnd::Whole) {
+    if (aEnd == HttpEnd::Complete) {
       client_.open_.pop_front();
-      call.done_({ HttpEnd::Whole, { 200, {}, {} }, {} });
+      call.done_({ HttpEnd::Complete, { 200, {}, {} }, {} });
     } else {
       client_.Fail(std::move(call), aEnd);
     }
@@ -99,7 +99,7 @@
   REQUIRE(fix.Data("ta: x\n\n"));
   CHECK(fix.reply_->body_ == Event(1) + Event(2));
   CHECK_FALSE(fix.outcome_);
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   REQUIRE(fix.outcome_);
   CHECK(fix.outcome_->headSent_);
   CHECK(fix.outcome_->answered_);
@@ -118,7 +118,7 @@
   CHECK(fix.LastEvent() == "2");
   fix.Head("s2");
   REQUIRE(fix.Data(Event(3, "half")));
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   CHECK(fix.reply_->body_ == Event(1) + Event(2) + Event(3, "half"));
   CHECK(fix.reply_->beginCalls_ == 1);
   CHECK(FindHeader(fix.reply_->headers_, fix.platform_->Names().signature_) ==
@@ -159,12 +159,12 @@
   fix.Start(true, 2);
   fix.Head();
   REQUIRE(fix.Data(Event(1) + "id: 2\n"));
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   REQUIRE_FALSE(fix.outcome_);
   CHECK(fix.LastEvent() == "1");
   fix.Head();
   REQUIRE(fix.Data("id: 2\n"));
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   REQUIRE(fix.outcome_);
   CHECK_FALSE(fix.outcome_->answered_);
   CHECK(fix.reply_->body_ == Event(1));
@@ -220,7 +220,7 @@
   CHECK(fix.Call().url_.starts_with("http://b:1"));
   fix.Head();
   REQUIRE(fix.Data(Event(1)));
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   CHECK(fix.outcome_->answered_);
 }
 
@@ -260,7 +260,7 @@
   fix.End(HttpEnd::Cancelled);
   fix.Head();
   REQUIRE(fix.Data(Event(1)));
-  fix.End(HttpEnd::Whole);
+  fix.End(HttpEnd::Complete);
   CHECK(fix.outcome_->answered_);
 }
 
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -193,7 +193,7 @@
     aServer.Read(connection);
     close(connection);
   });
-  CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Whole);
+  CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Complete);
   CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Broken);
   CHECK(server.requests_ == 2);
 }
@@ -217,9 +217,9 @@
     RawServer::Write(third, kCompleteResponse);
     close(third);
   });
-  CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Whole);
+  CHECK(SendAndWait(*client, Post(server)).end_ == HttpEnd::Complete);
   const HttpResult result = SendAndWait(*client, Post(server, atMostOnce));
-  CHECK(result.end_ == (atMostOnce ? HttpEnd::Broken : HttpEnd::Whole));
+  CHECK(result.end_ == (atMostOnce ? HttpEnd::Broken : HttpEnd::Complete));
   CHECK(server.requests_ == (atMostOnce ? 2 : 3));
 }
 
@@ -254,7 +254,7 @@
   id = client->Send(std::move(call), [&ended](HttpResult aResult) {
     ended.set_value(std::move(aResult));
   });
-  CHECK(ended.get_future().get().end_ == HttpEnd::Whole);
+  CHECK(ended.get_future().get().end_ == HttpEnd::Complete);
   CHECK(pauses == 3);
   CHECK(received == body);
 }
@@ -308,7 +308,7 @@
   call.onHead_ = [](int, const HttpHeaders&) { return false; };
   const HttpResult doubted = SendAndWait(*client, std::move(call));
   CHECK(doubted.end_ == HttpEnd::Cancelled);
-  REQUIRE(SendAndWait(*client, Post(server)).end_ == HttpEnd::Whole);
+  REQUIRE(SendAndWait(*client, Post(server)).end_ == HttpEnd::Complete);
   REQUIRE_FALSE(usedAgain);
 }
 
@@ -324,7 +324,7 @@
     return !FindHeader(aHeaders, "A");
   };
   const HttpResult result = SendAndWait(*client, std::move(call));
-  CHECK(result.end_ == HttpEnd::Whole);
+  CHECK(result.end_ == HttpEnd::Complete);
   CHECK(heads == std::vector<int>{ 200 });
 }
 
@@ -346,7 +346,7 @@
   HttpCall call = Post(server);
   call.newConnection_ = wanted;
   const HttpResult result = SendAndWait(*client, std::move(call));
-  CHECK(result.end_ == HttpEnd::Whole);
+  CHECK(result.end_ == HttpEnd::Complete);
   CHECK(result.opened_ == wanted);
   CHECK(result.localPort_ != 0);
 }
@@ -378,8 +378,8 @@
   REQUIRE(SendAndWait(*client, unreachable.Call()).end_ == HttpEnd::NotSent);
   HttpCall call = Post(server);
   call.connectTimeout_ = 2 * call.timeout_;
-  CHECK(SendAndWait(*client, call).end_ == HttpEnd::Whole);
-  CHECK(SendAndWait(*client, call).end_ == HttpEnd::Whole);
+  CHECK(SendAndWait(*client, call).end_ == HttpEnd::Complete);
+  CHECK(SendAndWait(*client, call).end_ == HttpEnd::Complete);
 }
 
 TEST_CASE("the idle timeout ends a response that stops, not one that continues")
@@ -408,7 +408,7 @@
   if (stops) {
     CHECK(result.end_ == HttpEnd::TimedOut);
   } else {
-    CHECK(result.end_ == HttpEnd::Whole);
+    CHECK(result.end_ == HttpEnd::Complete);
     CHECK(result.response_.body_ == "xxxxxx");
   }
 }
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -77,7 +77,7 @@
     const HttpDone done = std::move(transfer.done_);
     calls_.erase(aId);
     if (complete) {
-      done({ HttpEnd::Whole, { 200, {}, body_ }, {} });
+      done({ HttpEnd::Complete, { 200, {}, body_ }, {} });
     } else {
       done({ HttpEnd::TimedOut, {}, "Timeout was reached" });
     }
