--- a/src/programs/ctl/explain_command.cpp
+++ b/src/programs/ctl/explain_command.cpp
@@ -54,9 +54,9 @@
   const LogExplanation explanation =
     ExplainFromLogs(lines, aInput.arguments_.front());
   PrintLines("Its own lines:", explanation.ownLines_);
-  PrintLines("Lines around them that bear on it:", explanation.relatedLines_);
+  PrintLines("Related lines around them:", explanation.relatedLines_);
   std::cout << "Findings (" << explanation.linesRead_ << " lines read, "
-            << explanation.unparsed_ << " of them no event):\n";
+            << explanation.unparsed_ << " of them not parsed as events):\n";
   for (const std::string& finding : explanation.findings_) {
     std::cout << "  " << finding << '\n';
   }
