--- a/include/marjoramtally/process/claim_record.hpp
+++ b/include/marjoramtally/process/claim_record.hpp
@@ -12,7 +12,7 @@
 /// Progress of a claimed request.
 enum class ClaimState : std::uint8_t
 {
-  /// The claimant may be running the request, or has died.
+  /// The claimant may be running the request or may have died.
   Claimed,
   Completed,
   /// The request ended without proof of its outcome.
--- a/include/marjoramtally/process/job_takeover.hpp
+++ b/include/marjoramtally/process/job_takeover.hpp
@@ -22,7 +22,7 @@
 /// Delays and time windows of takeovers.
 struct TakeoverPolicy
 {
-  /// How long a liveness record that vanished may reappear: all vanish at once
+  /// How long a liveness record that vanished may reappear: all vanish together
   /// when leases expire while the store is unavailable, although their
   /// processes are alive.
   Duration returnGrace_ = std::chrono::milliseconds(1200);
--- a/include/marjoramtally/process/lease.hpp
+++ b/include/marjoramtally/process/lease.hpp
@@ -70,7 +70,7 @@
 
   /// Whether the holder may act now. Check immediately before each action:
   /// after a pause of the process this is false before the store has been
-  /// asked.
+  /// queried.
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
     return aNow < StopAt();
--- a/include/marjoramtally/process/load_estimate.hpp
+++ b/include/marjoramtally/process/load_estimate.hpp
@@ -18,8 +18,8 @@
   void OnDone(TimePoint aNow) noexcept;
   /// Records a report.
   /// @param aRequests requests at the upstream from all senders
-  /// @param aAt when the upstream took the figure. Own requests in flight at
-  /// that time are subtracted, so that no own request counts twice.
+  /// @param aAt when the upstream measured the number. Own requests in flight
+  /// at that time are subtracted, so that no own request counts twice.
   void OnReport(std::uint64_t aRequests, TimePoint aAt) noexcept;
   /// @param aMeanOthers mean number of requests of other entry processes at an
   /// upstream of the service; the estimate approaches it as the report ages
--- a/include/marjoramtally/process/quarantine.hpp
+++ b/include/marjoramtally/process/quarantine.hpp
@@ -105,8 +105,8 @@
   {
     return suspicions_.contains(aFingerprint);
   }
-  /// @returns the suspicion against a request, for an instance that asks; empty
-  /// if there is none
+  /// @returns the suspicion against a request, for an instance that queries it;
+  /// empty if there is none
   [[nodiscard]] std::vector<SuspicionUpdate> KnownSuspicion(
     Fingerprint aFingerprint,
     TimePoint aNow) const;
--- a/include/marjoramtally/process/relay_plan.hpp
+++ b/include/marjoramtally/process/relay_plan.hpp
@@ -1,7 +1,7 @@
 /// Decides which processes watch the store on behalf of the others (relays),
 /// and which relays a process uses. Every process computes the plan from the
 /// liveness records, so that no agreement is needed. While views differ, a
-/// process may ask one that is not a relay; that one refuses, and the process
+/// process may query one that is not a relay; that one refuses, and the process
 /// watches the store itself.
 #pragma once
 
--- a/include/marjoramtally/process/straggler.hpp
+++ b/include/marjoramtally/process/straggler.hpp
@@ -108,7 +108,7 @@
   double maxLengthRatio_ = 1;
   double generatedTokens_ = 0;
   double wastedTokens_ = 0;
-  /// Tokens of second runs in progress that may yet be discarded.
+  /// Tokens of second runs in progress that may still be discarded.
   double reservedTokens_ = 0;
 };
 
--- a/include/marjoramtally/process/upstream.hpp
+++ b/include/marjoramtally/process/upstream.hpp
@@ -21,7 +21,7 @@
   bool leaving_ = false;
   /// Increases with each start of the upstream; 0 if not reported.
   std::uint64_t incarnation_ = 0;
-  /// When the upstream took these figures.
+  /// When the upstream measured these values.
   TimePoint at_;
 };
 
--- a/include/marjoramtally/runtime/watch_history.hpp
+++ b/include/marjoramtally/runtime/watch_history.hpp
@@ -16,13 +16,13 @@
 public:
   /// Maximum number of changes kept.
   static constexpr std::size_t kMaxChanges = 2048;
-  /// Maximum bytes of keys and values kept. What a relay sends at once to 72
-  /// peers is then below 38 MB; each process reads a larger change from the
-  /// store, which has the faster link.
+  /// Maximum bytes of keys and values kept. What a relay sends to 72 peers
+  /// in one burst is then below 38 MB; each process reads a larger change from
+  /// the store, which has the faster link.
   static constexpr std::size_t kMaxBytes = 512UL * 1024UL;
-  /// Largest change kept, in bytes: 72 peers get it at once, which is 4.7 MB or
-  /// 0.6 s of a 60 Mbit/s link; a relay that needs more than a second counts as
-  /// unresponsive.
+  /// Largest change kept, in bytes: 72 peers get it together, which is 4.7 MB
+  /// or 0.6 s of a 60 Mbit/s link; a relay that needs more than a second counts
+  /// as unresponsive.
   static constexpr std::size_t kMaxChangeBytes = 64UL * 1024UL;
   /// How long a response of the store confirms the changes. A watch is renewed
   /// every 1.4 s, and a change must be known after two seconds.
--- a/src/daemon/gateway_host.cpp
+++ b/src/daemon/gateway_host.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// The process exits by itself this long before the forced kill at the end of
-/// the grace period.
+/// How long before the forced kill at the end of the grace period the process
+/// exits on its own.
 constexpr auto kExitMargin = std::chrono::milliseconds(700);
 /// How often a stopping process checks whether its last request has ended.
 constexpr auto kIdlePollInterval = std::chrono::milliseconds(100);
--- a/src/daemon/live_records.cpp
+++ b/src/daemon/live_records.cpp
@@ -14,7 +14,7 @@
 /// read.
 constexpr auto kWatchGrace = std::chrono::seconds(2);
 /// Reads after a hint are delayed by a random part of this time, since all
-/// instances receive the hint at once.
+/// instances receive the hint together.
 constexpr std::uint64_t kHintReadJitterMicros = 200'000;
 
 } // namespace
--- a/src/daemon/relayed_store.cpp
+++ b/src/daemon/relayed_store.cpp
@@ -338,7 +338,7 @@
                  { "after", std::to_string(own.after_) },
                  { "error", aBatch.error().message_ } });
     }
-    // A refusal is fast, so the next relay is queried. A time-out has taken
+    // A refusal is fast, so the next relay is queried. A timeout has taken
     // 1.3 s; if the next relay timed out too, a change would take effect too
     // late.
     ++own.nextRelay_;
--- a/src/process/concurrency_limit.cpp
+++ b/src/process/concurrency_limit.cpp
@@ -9,7 +9,7 @@
 constexpr double kMinLimit = 1;
 constexpr double kMaxLimit = 4096;
 /// Maximum increase per answer, so that the small limits of many entry
-/// processes do not all double at once.
+/// processes do not all double together.
 constexpr double kMaxIncrease = 0.25;
 constexpr double kShrinkFactor = 0.9;
 /// A live answer that takes more than this fraction of its deadline shrinks the
--- a/src/process/supply_plan.cpp
+++ b/src/process/supply_plan.cpp
@@ -252,8 +252,8 @@
       ordered.unavailableUntil_ = aNow + policy_.unavailableRetryDelay_;
       return;
     case SupplyEnd::Unknown:
-      // The next plan repeats the order at once. It is sent once more when the
-      // lost one can no longer take effect.
+      // The next plan repeats the order without a delay. It is sent once more
+      // when the lost one can no longer take effect.
       ordered.repeatAt_ = aNow + policy_.maxEffectDelay_;
       return;
   }
--- a/src/programs/gatewayd/forwarder.cpp
+++ b/src/programs/gatewayd/forwarder.cpp
@@ -11,10 +11,10 @@
 constexpr double kAttemptTimeoutShare = 0.7;
 constexpr auto kMinAttemptTimeout = std::chrono::milliseconds(80);
 /// The attempt timeout grows by this factor with each attempt that timed out,
-/// because a request that is slow at one upstream is more likely slow by itself
-/// than slow by chance twice. With a constant timeout, a scoring call of 0.6 s
-/// or more was cancelled at each of 20 attempts over 25 s, and its trainer's
-/// step was lost.
+/// because a request that is slow at one upstream is more likely slow at every
+/// upstream than delayed by chance twice. With a constant timeout, a scoring
+/// call of 0.6 s or more was cancelled at each of 20 attempts over 25 s, and
+/// its trainer's step was lost.
 constexpr std::int64_t kAttemptTimeoutGrowth = 3;
 /// Minimum time left for which another attempt is sent.
 constexpr auto kMinAttemptTime = std::chrono::milliseconds(15);
--- a/src/programs/gatewayd/job_api.cpp
+++ b/src/programs/gatewayd/job_api.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Jobs are released this long before the forced end: the process ends by
-/// itself 0.7 s before it, and a call to the store may need two attempts of
-/// 1.2 s each.
+/// Jobs are released this long before the forced kill: the process exits on its
+/// own 0.7 s before it, and a call to the store may need two attempts of 1.2 s
+/// each.
 constexpr auto kHandoverMargin = std::chrono::milliseconds(3200);
 /// Delay before a job that could not be loaded from the store is loaded again.
 constexpr auto kLoadRetryDelay = std::chrono::milliseconds(300);
--- a/src/programs/gatewayd/job_runner_runs.cpp
+++ b/src/programs/gatewayd/job_runner_runs.cpp
@@ -10,7 +10,7 @@
 
 /// A stream without events for this many times its upstream's pace moves to
 /// another upstream with free slots. A change of weights pauses runs for 0.9
-/// s, and another upstream reads the prompt again in some milliseconds.
+/// s, and another upstream processes the prompt again in a few milliseconds.
 constexpr std::int64_t kStallPaceFactor = 6;
 constexpr auto kMinStall = std::chrono::milliseconds(200);
 /// Time limit for the first event. The stream may be queued for a slot at its
@@ -162,8 +162,8 @@
   const auto echo = FindHeader(aHeaders, names.attempt_);
   run.status_ = aStatus;
   run.notRun_ = FindHeader(aHeaders, names.notRun_).has_value();
-  // As for requests (`Forwarder::Doubt`). A duplicate answer without an id
-  // might also make an incomplete text appear complete.
+  // The same checks as for requests (`Forwarder::RejectReason`). A duplicate
+  // answer without an id might also make an incomplete text appear complete.
   if (echo.value_or("") != item.id_.Get()) {
     run.fault_ = echo ? "the answer belongs to another request"
                       : "the answer does not contain the item's id";
--- a/src/programs/orderd/order_steps.cpp
+++ b/src/programs/orderd/order_steps.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// An upstream normally replies to an order within a few milliseconds. After a
-/// time-out it may still carry out the order.
+/// timeout it may still carry out the order.
 constexpr auto kOrderTimeout = std::chrono::milliseconds(500);
 /// A load takes about 0.9 s, and reports are a few hundred milliseconds late.
 constexpr auto kFirstCheckDelay = std::chrono::milliseconds(1050);
@@ -298,9 +298,9 @@
       ScheduleReport(target, kFirstCheckDelay);
       return;
     case 200:
-      // Without an id this reply cannot be told from a late duplicate reply to
-      // the preceding report. Trusting it could leave the upstream without this
-      // version for good, so the next report decides.
+      // Without an id this reply cannot be distinguished from a late duplicate
+      // reply to the preceding report. Trusting it could leave the upstream
+      // without this version permanently, so the next report decides.
       BackOff(target, "unconfirmed reply that the version is already loaded");
       return;
     case 412:
--- a/src/programs/orderd/supply_duty.cpp
+++ b/src/programs/orderd/supply_duty.cpp
@@ -200,7 +200,7 @@
   const int status =
     aResult.end_ == HttpEnd::Complete ? aResult.response_.status_ : 0;
   // 409 means either that no upstreams are available or that a higher fencing
-  // number was seen. A replaced holder learns of that by losing its lease.
+  // number was seen. A replaced holder detects that by losing its lease.
   const bool refused = status == 409 || status == 429 || status == 503;
   EndOrder(aOrder,
            status == 200 ? SupplyEnd::Accepted
--- a/src/programs/orderd/usage_duty.cpp
+++ b/src/programs/orderd/usage_duty.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kWindowPrefix = "mt/usage/";
 constexpr auto kStoreRetryPause = std::chrono::milliseconds(700);
-/// After a time-out the platform may still accept the report.
+/// After a timeout the platform may still accept the report.
 constexpr auto kReportTimeout = std::chrono::milliseconds(1500);
 
 std::string
--- a/tests/test_http_client.cpp
+++ b/tests/test_http_client.cpp
@@ -283,7 +283,7 @@
 }
 
 // Guards against a connection that stays one response behind. A second response
-// to an earlier call was taken for that of a later call (see
+// to an earlier call was accepted as that of a later call (see
 // test_forwarder.cpp). The receiver rejected the following ones for their id,
 // but each was complete, so the connection remained in use.
 TEST_CASE("a connection whose response was rejected is not reused")
--- a/tests/test_job_api.cpp
+++ b/tests/test_job_api.cpp
@@ -265,7 +265,7 @@
   REQUIRE(reply->body_.find("a1") != std::string::npos);
 }
 
-// A job stalled for good when its owner restarted, claimed it and read an
+// A job stalled permanently when its owner restarted, claimed it and read an
 // unreadable or incomplete submission: the owner loaded the submission only
 // once, and no other process claims the job of a live owner.
 TEST_CASE("an owned job that could not be loaded is loaded again")
--- a/tests/test_job_directory.cpp
+++ b/tests/test_job_directory.cpp
@@ -335,10 +335,10 @@
 // A read of an ended job missed a result that had been read before. The first
 // owner was disconnected, another process took the job over and finished it,
 // and the trainer ended it. When the first owner reconnected, it read all
-// records at once, because the store no longer had the events. In a complete
-// read the end comes before the owner record, and changes of owner were not
-// reported for ended jobs, so the first owner answered from its outdated
-// ledger for a minute.
+// records instead of events, because the store no longer had these. In a
+// complete read the end comes before the owner record, and changes of owner
+// were not reported for ended jobs, so the first owner answered from its
+// outdated ledger for a minute.
 TEST_CASE("the former owner of an ended job is notified of the later one")
 {
   DirectoryFixture fix;
--- a/tests/test_job_routes.cpp
+++ b/tests/test_job_routes.cpp
@@ -4,8 +4,8 @@
 /// yet read the configuration. All processes were killed 1 s after a job was
 /// accepted. After the restart, its owner read jobs and upstreams first;
 /// reading the configuration, of 1,400 routes, took 0.7 s longer. The owner
-/// found no route in its empty table, took this for the removal of the route
-/// and wrote all 96 items as errored.
+/// found no route in its empty table, interpreted this as the removal of the
+/// route and wrote all 96 items as errored.
 
 #include "job_fixture.hpp"
 
--- a/tests/test_load_limit.cpp
+++ b/tests/test_load_limit.cpp
@@ -147,7 +147,7 @@
   };
   REQUIRE(endLoads(1s) == 16);
   REQUIRE(endLoads(1s) == 18);
-  // The store sustains nine, nine tenths of which are used.
+  // The store sustains nine loads; the limit is nine tenths of that.
   REQUIRE(endLoads(2s) == 8);
 }
 
--- a/tests/test_order_duty.cpp
+++ b/tests/test_order_duty.cpp
@@ -156,7 +156,7 @@
 
 // Orders have no id that a reply could refer to, and a duplicate reply to the
 // preceding report arrives on the same connection. Accepting such a 200 as the
-// order's own reply would leave the upstream on its old version for good.
+// order's own reply would leave the upstream on its old version permanently.
 TEST_CASE("a 200 reply to an order counts only once a report confirms it")
 {
   DutyFixture fix;
@@ -328,8 +328,8 @@
 // Guards against texts that mix two versions although their trainer requires a
 // single one. It happened when a new holder read upstreams and announced
 // versions before the configuration, which the store returned late or
-// unreadable: the holder took all models for ones whose runs may continue
-// across a version change.
+// unreadable: the holder assumed that runs of all models may continue across a
+// version change.
 TEST_CASE("no order is sent before the configuration has been read")
 {
   UnreadConfigFixture fix;
@@ -373,7 +373,7 @@
 // compacted its history, and an upstream left before its watch was reopened.
 // The complete read did not contain that upstream, but only its records were
 // applied and missing ones were not removed, so the upstream still counted as
-// serving its model and was asked for its state repeatedly.
+// serving its model and was polled repeatedly.
 TEST_CASE("an upstream that is missing from a complete read gets no orders")
 {
   DutyFixture fix;
--- a/tests/test_platform_store.cpp
+++ b/tests/test_platform_store.cpp
@@ -271,10 +271,10 @@
 }
 
 // Guards against gateways that never become ready after most processes of a
-// large fleet restart at once. It happened when a range read had a fixed
+// large fleet restart together. It happened when a range read had a fixed
 // timeout regardless of progress: all processes read a configuration of 4,236
 // routes (1 MB) over the store's single link, timed out after 1.2 s with half
-// of it received, and started again.
+// of it received, and repeated the read.
 TEST_CASE(
   "all processes of a fleet that starts at once read a large configuration")
 {
--- a/tests/test_supply.cpp
+++ b/tests/test_supply.cpp
@@ -196,8 +196,8 @@
 
 namespace {
 
-/// Simulates the steps of a trainer: a burst of items every four seconds, each
-/// of which occupies a slot for some time. The platform boots ordered
+/// Simulates the steps of a trainer: a burst of items every four seconds; each
+/// item occupies a slot for some time. The platform boots ordered
 /// upstreams.
 struct StepSimulation
 {
