--- a/include/marjoramtally/process/allocation.hpp
+++ b/include/marjoramtally/process/allocation.hpp
@@ -126,7 +126,7 @@
   AllocationPolicy policy_;
   std::map<EngineUserId, User> users_;
   std::map<UpstreamId, Engine> engines_;
-  /// Start of the present difference between targets and held engines.
+  /// Start of the current difference between targets and held engines.
   TimePoint imbalancedSince_ = kNever;
 };
 
--- a/include/marjoramtally/process/load_limit.hpp
+++ b/include/marjoramtally/process/load_limit.hpp
@@ -34,9 +34,9 @@
   /// @param aCount number of loads in progress, the new ones included
   void OnInProgress(std::uint32_t aCount, TimePoint aNow);
   /// @param aInitialGuess expected limit, used until a load has ended
-  /// @returns the present limit
+  /// @returns the current limit
   [[nodiscard]] std::uint32_t LimitFor(std::uint32_t aInitialGuess);
-  /// @returns the present limit; 0 before the first call of `LimitFor`
+  /// @returns the current limit; 0 before the first call of `LimitFor`
   [[nodiscard]] std::uint32_t Get() const noexcept
   {
     return static_cast<std::uint32_t>(limit_);
--- a/include/marjoramtally/process/supply_plan.hpp
+++ b/include/marjoramtally/process/supply_plan.hpp
@@ -121,7 +121,7 @@
     TimePoint lastIncrease_;
   };
 
-  /// @returns whether the present orders of the service are known
+  /// @returns whether the current orders of the service are known
   [[nodiscard]] bool Settled(const SupplyView& aView, TimePoint aNow);
   [[nodiscard]] std::uint64_t Peak(const ServiceId& aService,
                                    TimePoint aNow) const;
@@ -145,7 +145,7 @@
   std::map<ServiceId, PeakDemand> demand_;
   std::map<SupplyPool, Ordered> ordered_;
   std::map<ServiceId, InitialCount> initial_;
-  /// Services with known present orders, either restored from an earlier holder
+  /// Services with known current orders, either restored from an earlier holder
   /// or derived from the initial upstreams.
   std::set<ServiceId> settled_;
   /// Since when fewer upstreams of a service are wanted than serve.
--- a/include/marjoramtally/process/usage_ledger.hpp
+++ b/include/marjoramtally/process/usage_ledger.hpp
@@ -52,7 +52,7 @@
   explicit UsageLedger(UsagePolicy aPolicy);
 
   /// Starts the duty with the windows that earlier holders settled. Without
-  /// any, accounting starts with the present window.
+  /// any, accounting starts with the current window.
   void Begin(std::map<UsageWindow, SettledWindow> aSettled, TrueTime aNow);
   /// Records the usage that a gateway reported in reply to a request sent at
   /// this time.
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -7,7 +7,7 @@
  * never older than the last confirmed one, neither at the end nor when an
  * owner confirms a version.
  *
- * Each order is sent once: the client must not retry it by itself, as a copy
+ * Each order is sent once: the client must not repeat it itself, as a copy
  * could arrive after a later order of the same term.
  *
  * Time is the phase of owner 1's lease: 0 orders may be sent, 1 within the
--- a/src/process/load_limit.cpp
+++ b/src/process/load_limit.cpp
@@ -27,7 +27,7 @@
 constexpr double kRoundShare = 0.5;
 constexpr std::size_t kMinRoundLoads = 2;
 /// An inconclusive round ends after this multiple of that number, because old
-/// durations do not reflect the present load of the store.
+/// durations do not reflect the current load of the store.
 constexpr std::size_t kMaxRoundFactor = 8;
 /// Loads count as slowed if the median of a round does. They count as not
 /// slowed if this share of them is not, out of at least as many loads as the
