--- a/tests/test_customers.cpp
+++ b/tests/test_customers.cpp
@@ -144,7 +144,7 @@
     void StopAccepting() override {}
     [[nodiscard]] std::uint64_t InFlight() const noexcept override { return 0; }
   };
-  struct Listeners final : Listeners
+  struct FakeListeners final : Listeners
   {
     [[nodiscard]] Result<std::unique_ptr<HttpServer>> Serve(
       const ListenAddress& aAddress,
@@ -157,7 +157,7 @@
     std::map<std::uint16_t, HttpHandler> handlers_;
   };
 
-  Listeners listeners_;
+  FakeListeners listeners_;
   std::unique_ptr<Gateway> gateway_;
 
   KeyedGateway()
